--- a/entry/src/main/kotlin/io/bluebellramp/entry/Action.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Action.kt
@@ -7,68 +7,68 @@
 import io.bluebellramp.core.ZoneId
 import io.bluebellramp.messages.ClaimHolder
 
-/** What the shell must do for [EntryCore]. */
+/** A side effect that [EntryCore] asks [EntryCoreRunner] to carry out. */
 internal sealed interface Action {
-    /** Ask the members for a claim and pass the verdict to [EntryCore.claimed]. */
+    /** Request a claim from the voting members and pass the result to [EntryCore.onClaimResult]. */
     data class Claim(
         val submission: SubmissionId,
         val digest: String,
         val takeover: IncarnationId? = null,
     ) : Action
 
-    /** Give up a claim for which there was no majority. */
+    /** Release a claim that this entry holds at some members but does not use. */
     data class Release(
         val submission: SubmissionId,
     ) : Action
 
-    /** Ask the owner for its answer and pass the reply to [EntryCore.followed]. */
-    data class Follow(
+    /** Ask the owning entry for its answer and pass the reply to [EntryCore.onOwnerReply]. */
+    data class QueryOwner(
         val submission: SubmissionId,
         val owner: ClaimHolder,
     ) : Action
 
-    /** Pass a cancel on to the owner. */
+    /** Forward a cancellation to the owning entry. */
     data class CancelAtOwner(
         val submission: SubmissionId,
         val owner: ClaimHolder,
     ) : Action
 
-    /** Give [reply] to everyone who waits for the submission. */
+    /** Return [reply] to every caller that waits for the submission. */
     data class Deliver(
         val submission: SubmissionId,
         val reply: Reply,
     ) : Action
 
-    /** Send what [EntryCore.drain] returns for the link. */
-    data class Wake(
+    /** Send the frame that [EntryCore.takeFrame] returns for the connection. */
+    data class Flush(
         val link: LinkId,
     ) : Action
 
-    /** Close the link. */
+    /** Close the connection. */
     data class Close(
         val link: LinkId,
     ) : Action
 
-    /** Log a placement of one task. The [candidates] are those before the batch in which it was placed. */
-    data class LogPlacement(
+    /** Log the placement of one task. [candidates] is the state before the batch in which the task was placed. */
+    data class LogPlacementDecision(
         val submission: SubmissionId,
         val task: Int,
         val attempt: Int,
         val service: ServiceId,
         val target: TargetId,
         val zone: ZoneId,
-        val candidates: Candidates,
+        val candidates: PlacementCandidates,
     ) : Action
 
-    /** Log a decision about a whole submission. */
-    data class LogRouting(
+    /** Log a decision about a whole submission, for example that it was admitted or refused. */
+    data class LogSubmissionDecision(
         val kind: String,
         val reason: String,
         val submission: SubmissionId,
     ) : Action
 }
 
-/** Names one connection of an agent. */
+/** Identifies one WebSocket connection from an agent. */
 @JvmInline
 internal value class LinkId(
     val value: Long,
--- a/entry/src/main/kotlin/io/bluebellramp/entry/ActionSink.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/ActionBuffer.kt
@@ -1,15 +1,15 @@
 package io.bluebellramp.entry
 
-/** Collects actions until the shell takes them. */
-internal class ActionSink {
+/** Collects actions until [EntryCoreRunner] executes them. */
+internal class ActionBuffer {
     private var actions = ArrayList<Action>()
 
     operator fun plusAssign(action: Action) {
         actions += action
     }
 
-    /** Returns the actions since the last call, in their order. */
-    fun take(): List<Action> {
+    /** Returns the actions added since the last call, in order. */
+    fun takeAll(): List<Action> {
         if (actions.isEmpty()) return emptyList()
         val taken = actions
         actions = ArrayList()
--- a/entry/src/main/kotlin/io/bluebellramp/entry/AgentDirectory.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/AgentDirectory.kt
@@ -15,132 +15,136 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Hears what becomes of connections and of the attempts that depended on them. */
+/** Is notified when a lost connection or agent affects credits or attempts. */
 internal interface AgentListener {
-    /** The credits of [session] are void. */
+    /** The credits that [session] granted are no longer valid. */
     fun creditsLost(session: AgentSession)
 
-    /** [attempt] never left this process. */
+    /** [attempt] was never sent to the agent. */
     fun neverSent(attempt: Attempt)
 
-    /** Whether [attempt] started will not be known. */
+    /** It can no longer be found out whether [attempt] started. */
     fun outcomeLost(attempt: Attempt)
 }
 
-/** The agents that are or were connected, and what is to be sent to each. No I/O. */
+/** The agents that are connected or may reconnect, and the frames to send to them. No I/O. */
 internal class AgentDirectory(
     private val identity: EntryIdentity,
-    private val lease: LeaseKeeper,
-    private val sink: ActionSink,
+    private val lease: LeaseState,
+    private val actions: ActionBuffer,
 ) {
     private val sessions = HashMap<AgentId, AgentSession>()
-    private val byLink = HashMap<LinkId, AgentSession>()
-    private val permits = PermitHistory()
+    private val sessionsByLink = HashMap<LinkId, AgentSession>()
+    private val permits = IssuedPermits()
     private val demandNews = DemandNews()
     lateinit var listener: AgentListener
 
-    /** Tells what waits for a service. */
+    /** Returns the demand for a service, which is sent to its agents. */
     lateinit var demand: (ServiceId) -> Demand
 
-    /** Agents that are connected. */
-    val connected: Collection<AgentSession> get() = byLink.values
+    /** The sessions of the connected agents. */
+    val connected: Collection<AgentSession> get() = sessionsByLink.values
 
-    fun session(link: LinkId): AgentSession? = byLink[link]
+    fun session(link: LinkId): AgentSession? = sessionsByLink[link]
 
-    /** The connected agent of [target], or null. */
-    fun byTarget(target: TargetId): AgentSession? = byLink.values.firstOrNull { it.target?.target == target && it.takesWork }
+    /** Returns the session of the connected agent that serves [target] and accepts work, or null. */
+    fun sessionOfTarget(target: TargetId): AgentSession? =
+        sessionsByLink.values.firstOrNull { it.target?.target == target && it.acceptsWork }
 
-    /** The lowest revision of any permit that was passed on and may be alive. */
-    fun oldestPermit(now: Duration): Revision = permits.oldest(lease.revision, now)
+    /** Returns the lowest revision of any issued permit that may still be valid. */
+    fun oldestPermit(now: Duration): Revision = permits.oldestRevision(lease.revision, now)
 
-    /** Takes the first frame of a connection. */
+    /** Registers a connection by the hello in its first frame. A connection from another site is closed. */
     fun attach(
         link: LinkId,
         hello: AgentHello,
         now: Duration,
     ) {
         if (hello.site != identity.site) {
-            sink += Action.Close(link)
+            actions += Action.Close(link)
             return
         }
-        val known = sessions[hello.agent]
-        known?.link?.let {
+        val existing = sessions[hello.agent]
+        existing?.link?.let {
             detach(it, now)
-            sink += Action.Close(it)
+            actions += Action.Close(it)
         }
-        if (known != null && known.incarnation != hello.incarnation) lose(known)
-        val session = if (known?.incarnation == hello.incarnation) known else AgentSession(hello)
+        if (existing != null && existing.incarnation != hello.incarnation) abandonAttempts(existing)
+        val session = if (existing?.incarnation == hello.incarnation) existing else AgentSession(hello)
         sessions[hello.agent] = session
-        byLink[link] = session
+        sessionsByLink[link] = session
         session.attach(link)
         session.outbox.hello = EntryHello(entry = identity.entry, incarnation = identity.incarnation)
-        session.unresolved.values.forEach { session.outbox.inquiries += it.reference }
-        wake(session)
+        session.unresolvedAttempts.values.forEach { session.outbox.inquiries += it.reference }
+        requestFlush(session)
     }
 
-    /** Notes that a connection is gone. */
+    /** Removes a connection that was closed. Attempts that were not sent yet are reported as never sent. */
     fun detach(
         link: LinkId,
         now: Duration,
     ) {
-        val session = byLink.remove(link) ?: return
+        val session = sessionsByLink.remove(link) ?: return
         listener.creditsLost(session)
         session.link = null
-        session.closedAt = now
+        session.disconnectedAt = now
         val unsent = session.outbox.dispatches.toList()
         session.outbox.clear()
         unsent.forEach {
-            session.unresolved.remove(it.key)
+            session.unresolvedAttempts.remove(it.key)
             listener.neverSent(it)
         }
     }
 
-    /** Gives up on agents that stayed away. */
+    /** Drops the agents that did not reconnect in time and reports the outcomes of their attempts as lost. */
     fun expire(now: Duration) {
-        val away = sessions.values.filter { it.link == null && now - it.closedAt > RECONNECT_WAIT }
-        away.forEach {
+        val expired = sessions.values.filter { it.link == null && now - it.disconnectedAt > RECONNECT_TIMEOUT }
+        expired.forEach {
             sessions.remove(it.agent)
-            lose(it)
+            abandonAttempts(it)
         }
     }
 
-    private fun lose(session: AgentSession) {
-        val lost = session.unresolved.values.toList()
-        session.unresolved.clear()
-        lost.forEach(listener::outcomeLost)
+    private fun abandonAttempts(session: AgentSession) {
+        val abandoned = session.unresolvedAttempts.values.toList()
+        session.unresolvedAttempts.clear()
+        abandoned.forEach(listener::outcomeLost)
     }
 
-    /** Answers the last permit request of each agent again, so that a new revision does not wait for the next request. */
+    /** Answers the last permit request of each agent again, so that a new revision reaches the agents before their next request. */
     fun renewPermits() =
-        byLink.values.filter { it.lastRequest != null }.forEach {
-            it.outbox.permitRequest = it.lastRequest
-            wake(it)
+        sessionsByLink.values.filter { it.lastPermitRequest != null }.forEach {
+            it.outbox.permitRequest = it.lastPermitRequest
+            requestFlush(it)
         }
 
-    /** Marks the link of [session] for sending. */
-    fun wake(session: AgentSession) {
-        session.link?.let { sink += Action.Wake(it) }
+    /** Requests that pending data for [session] is sent. */
+    fun requestFlush(session: AgentSession) {
+        session.link?.let { actions += Action.Flush(it) }
     }
 
-    /** Marks the links of [service] that know of no demand. */
-    fun wakeIdle(service: ServiceId) =
-        byLink.values.filter { it.service == service && (it.demandSent?.tasks ?: 0) + (it.demandSent?.requests ?: 0) == 0 }.forEach(::wake)
+    /** Requests sending to the agents of [service] that were last told that there is no demand. */
+    fun flushLinksWithoutDemand(service: ServiceId) =
+        sessionsByLink.values
+            .filter {
+                it.service == service && (it.lastSentDemand?.tasks ?: 0) + (it.lastSentDemand?.requests ?: 0) == 0
+            }.forEach(::requestFlush)
 
-    /** Marks the links to which demand or a count of outcomes has not been sent yet. */
-    fun wakeForNews() {
+    /** Requests sending to the agents whose last frame had outdated demand or an outdated count of received outcomes. */
+    fun flushOutdatedLinks() {
         val demands = HashMap<ServiceId, Demand>()
-        byLink.values.forEach { session ->
-            val now = session.service?.let { demands.getOrPut(it) { demand(it) } }
-            if (session.received != session.receivedSent || (now != null && isNews(session, now))) wake(session)
+        sessionsByLink.values.forEach { session ->
+            val latest = session.service?.let { demands.getOrPut(it) { demand(it) } }
+            if (session.receivedCount != session.acknowledgedCount || (latest != null && isOutdated(session, latest))) requestFlush(session)
         }
     }
 
-    private fun isNews(
+    private fun isOutdated(
         session: AgentSession,
-        now: Demand,
+        latest: Demand,
     ): Boolean {
-        val sent = session.demandSent
-        return demandNews.isNews(sent?.queueDemand(), now.queueDemand()) || ((sent?.requests ?: 0) == 0) != (now.requests == 0)
+        val sent = session.lastSentDemand
+        return demandNews.isNews(sent?.queueDemand(), latest.queueDemand()) || ((sent?.requests ?: 0) == 0) != (latest.requests == 0)
     }
 
     private fun Demand.queueDemand() = QueueDemand(tasks = tasks, tasksLeft = tasksLeft)
@@ -150,46 +154,46 @@
         revision: Revision,
     ) = permits.acknowledge(session.incarnation, revision)
 
-    /** Returns all that waits for the link as one frame, or null if nothing does. */
-    fun drain(
+    /** Returns everything pending for [link] as one frame, or null if nothing is pending. */
+    fun takeFrame(
         link: LinkId,
         now: Duration,
     ): EntryFrame? {
-        val session = byLink[link] ?: return null
-        val news = session.service?.let(demand)?.takeIf { it != session.demandSent }
-        val box = session.outbox
-        if (box.isEmpty && news == null && session.received == session.receivedSent) return null
+        val session = sessionsByLink[link] ?: return null
+        val newDemand = session.service?.let(demand)?.takeIf { it != session.lastSentDemand }
+        val outbox = session.outbox
+        if (outbox.isEmpty && newDemand == null && session.receivedCount == session.acknowledgedCount) return null
         val frame =
             EntryFrame(
-                hello = box.hello,
-                permit = permit(session, now),
-                demand = news,
-                returned = box.takeCredits(),
-                dispatches = box.dispatches.map { it.dispatch(now) },
-                cancels = box.cancels.toList(),
-                inquiries = box.inquiries.toList(),
-                received = session.received.takeIf { it != session.receivedSent },
+                hello = outbox.hello,
+                permit = issuePermit(session, now),
+                demand = newDemand,
+                returned = outbox.takeReturnedCredits(),
+                dispatches = outbox.dispatches.map { it.toDispatch(now) },
+                cancels = outbox.cancels.toList(),
+                inquiries = outbox.inquiries.toList(),
+                received = session.receivedCount.takeIf { it != session.acknowledgedCount },
             )
-        box.clear()
-        session.receivedSent = session.received
-        if (news != null) session.demandSent = news
+        outbox.clear()
+        session.acknowledgedCount = session.receivedCount
+        if (newDemand != null) session.lastSentDemand = newDemand
         return frame.takeIf { it != EntryFrame() }
     }
 
-    private fun permit(
+    private fun issuePermit(
         session: AgentSession,
         now: Duration,
     ): Permit? {
         val request = session.outbox.permitRequest ?: return null
         val target = session.target
-        val valid = lease.remaining(now).inWholeMilliseconds
-        if (!lease.isLive(now) || valid <= 0 || request.revision > lease.revision) return null
+        val validMillis = lease.remaining(now).inWholeMilliseconds
+        if (!lease.isLive(now) || validMillis <= 0 || request.revision > lease.revision) return null
         val service = session.service?.let(lease::service)
         permits.add(session.incarnation, lease.revision, end = now + lease.remaining(now))
         return Permit(
             sequence = request.sequence,
             revision = lease.revision,
-            validMillis = valid,
+            validMillis = validMillis,
             inService = lease.isInService(session.zone, target?.target),
             slots = service?.slots ?: 0,
             connections = service?.connections ?: 0,
@@ -198,22 +202,22 @@
         )
     }
 
-    private fun Attempt.dispatch(now: Duration): Dispatch {
+    private fun Attempt.toDispatch(now: Duration): Dispatch {
         isSent = true
         return Dispatch(
             submission = submission.id,
             task = task,
             attempt = number,
             incarnation = session.incarnation,
-            kind = submission.new.kind,
-            payload = submission.new.tasks[task].payload,
+            kind = submission.spec.kind,
+            payload = submission.spec.tasks[task].payload,
             remainingMillis = maxOf(0, (submission.deadline - now).inWholeMilliseconds),
-            idempotent = submission.new.idempotent,
+            idempotent = submission.spec.idempotent,
         )
     }
 
     private companion object {
-        /** How long the outcomes of an agent are waited for after its connection broke. */
-        val RECONNECT_WAIT = 5.seconds
+        /** How long an agent may take to reconnect before the outcomes of its attempts count as lost. */
+        val RECONNECT_TIMEOUT = 5.seconds
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/AgentEndpoint.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/AgentEndpoint.kt
@@ -19,10 +19,10 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.AtomicLong
 
-/** The WebSocket at `/agents`: takes the frames of agents and sends each agent what waits for it as one frame. */
+/** The WebSocket endpoint `/agents`. Passes frames from agents to the core and sends each agent its pending data as one frame. */
 internal class AgentEndpoint(
-    private val shell: EntryShell,
-    private val traffic: Traffic,
+    private val runner: EntryCoreRunner,
+    private val frameMetrics: FrameMetrics,
     private val scope: CoroutineScope,
 ) {
     private class Connection(
@@ -31,39 +31,39 @@
     )
 
     private val connections = ConcurrentHashMap<LinkId, Connection>()
-    private val lastLink = AtomicLong()
+    private val lastLinkId = AtomicLong()
 
-    /** Adds the route. */
+    /** Adds the WebSocket route. */
     fun Route.agents() {
         webSocket("/agents") { serve(this) }
     }
 
-    /** Tells the sender of [link] that something waits. */
-    fun wake(link: LinkId) {
+    /** Requests that pending data for [link] is sent. */
+    fun flush(link: LinkId) {
         connections[link]?.signal?.trySend(Unit)
     }
 
-    /** Closes [link]. */
+    /** Closes the connection [link] in the background. */
     fun close(link: LinkId) {
         val connection = connections[link] ?: return
         scope.launch { connection.session.close(CloseReason(CloseReason.Codes.GOING_AWAY, "closed by the entry")) }
     }
 
     private suspend fun serve(session: DefaultWebSocketServerSession) {
-        val link = LinkId(lastLink.incrementAndGet())
+        val link = LinkId(lastLinkId.incrementAndGet())
         val connection = Connection(session)
         connections[link] = connection
-        session.pingIntervalMillis = PING_MILLIS
-        session.timeoutMillis = SILENCE_MILLIS
+        session.pingIntervalMillis = PING_INTERVAL_MILLIS
+        session.timeoutMillis = PONG_TIMEOUT_MILLIS
         val sender = session.launch { send(link, connection) }
         try {
             for (frame in session.incoming) if (frame is Frame.Text) receive(link, frame.readText())
         } catch (e: SerializationException) {
-            session.close(CloseReason(CloseReason.Codes.CANNOT_ACCEPT, e.message.orEmpty().take(MAX_REASON)))
+            session.close(CloseReason(CloseReason.Codes.CANNOT_ACCEPT, e.message.orEmpty().take(MAX_CLOSE_REASON_LENGTH)))
         } finally {
             sender.cancel()
             connections.remove(link)
-            withContext(NonCancellable) { shell.use { closed(link, it) } }
+            withContext(NonCancellable) { runner.withCore { onDisconnected(link, it) } }
         }
     }
 
@@ -71,9 +71,9 @@
         link: LinkId,
         text: String,
     ) {
-        traffic.received(text.length)
+        frameMetrics.recordReceived(text.length)
         val frame = WireJson.decodeFromString(AgentFrame.serializer(), text)
-        shell.use { now -> frame(link, frame, now) }
+        runner.withCore { now -> onFrame(link, frame, now) }
     }
 
     private suspend fun send(
@@ -81,18 +81,18 @@
         connection: Connection,
     ) {
         for (signal in connection.signal) {
-            val frame = shell.use { now -> drain(link, now) } ?: continue
+            val frame = runner.withCore { now -> takeFrame(link, now) } ?: continue
             val text = WireJson.encodeToString(EntryFrame.serializer(), frame)
-            traffic.sent(text.length)
+            frameMetrics.recordSent(text.length)
             connection.session.send(Frame.Text(text))
         }
     }
 
     private companion object {
-        const val MAX_REASON = 100
-        const val PING_MILLIS = 500L
+        const val MAX_CLOSE_REASON_LENGTH = 100
+        const val PING_INTERVAL_MILLIS = 500L
 
-        /** An agent that answers no ping for this long is disconnected, so that it gets no more work. */
-        const val SILENCE_MILLIS = 2_000L
+        /** An agent that answers no ping for this long is disconnected and gets no more work. */
+        const val PONG_TIMEOUT_MILLIS = 2_000L
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/AgentSession.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/AgentSession.kt
@@ -7,7 +7,7 @@
 import io.bluebellramp.messages.TargetState
 import kotlin.time.Duration
 
-/** What an entry knows of one incarnation of an agent. It outlives a broken connection. */
+/** The state of one incarnation of an agent at this entry. It is kept while the agent reconnects. */
 internal class AgentSession(
     hello: AgentHello,
 ) {
@@ -15,36 +15,36 @@
     val incarnation = hello.incarnation
     val zone = hello.zone
 
-    /** The open connection, or null. */
+    /** The open connection, or null while the agent is disconnected. */
     var link: LinkId? = null
-    var closedAt = Duration.ZERO
+    var disconnectedAt = Duration.ZERO
     var target: TargetState? = null
     var isLeaving = false
     val outbox = Outbox()
-    val unresolved = LinkedHashMap<AttemptKey, Attempt>()
+    val unresolvedAttempts = LinkedHashMap<AttemptKey, Attempt>()
 
-    /** Outcomes received on this connection. */
-    var received = 0L
-    var receivedSent = 0L
-    var demandSent: Demand? = null
+    /** Number of outcomes received on this connection. */
+    var receivedCount = 0L
+    var acknowledgedCount = 0L
+    var lastSentDemand: Demand? = null
 
-    /** The last permit request on this connection. */
-    var lastRequest: PermitRequest? = null
+    /** The last permit request received on this connection. */
+    var lastPermitRequest: PermitRequest? = null
 
-    /** The service of the target that is there, or null. */
+    /** The service of the target, or null if no target is present. */
     val service: ServiceId? get() = target?.takeIf { it.present }?.service
 
-    /** True if it may be given work. */
-    val takesWork get() = link != null && !isLeaving && service != null
+    /** True if tasks may be dispatched to the agent. */
+    val acceptsWork get() = link != null && !isLeaving && service != null
 
-    /** Starts over on a new connection. */
+    /** Resets the state that belongs to one connection and sets the new connection. */
     fun attach(link: LinkId) {
         this.link = link
         outbox.clear()
-        received = 0
-        receivedSent = 0
-        demandSent = null
-        lastRequest = null
+        receivedCount = 0
+        acknowledgedCount = 0
+        lastSentDemand = null
+        lastPermitRequest = null
         target = null
         isLeaving = false
     }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/AttemptTracker.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/AttemptTracker.kt
@@ -6,26 +6,29 @@
 import io.bluebellramp.messages.TaskStatus
 import kotlin.time.Duration.Companion.microseconds
 
-/** Takes the outcomes of attempts. A task moves on only by proof that its attempt did not start, or if it is idempotent. No I/O. */
+/**
+ * Processes the outcomes of attempts. A task is attempted again only if its last attempt is known not to have started, or if the task is
+ * idempotent. No I/O.
+ */
 internal class AttemptTracker(
     private val dispatcher: Dispatcher,
     private val services: ServiceTable,
-    private val teams: TeamLedger,
-    private val counters: Counters,
+    private val teams: TeamUsage,
+    private val counters: EntryCounters,
 ) : AgentListener {
     lateinit var listener: SubmissionListener
 
-    /** Takes an outcome that [session] reported. One that was not asked for is dropped and counted. */
-    fun outcome(
+    /** Processes an outcome that [session] reported. An outcome of an unknown attempt is dropped and counted. */
+    fun onOutcome(
         session: AgentSession,
         outcome: TaskOutcome,
     ) {
-        session.received++
-        counters.outcome(outcome.status)
+        session.receivedCount++
+        counters.countOutcome(outcome.status)
         val key = AttemptKey(outcome.submission, outcome.task, outcome.attempt)
-        val attempt = session.unresolved[key]
+        val attempt = session.unresolvedAttempts[key]
         if (attempt == null || !attempt.isSent) {
-            counters.waste(Waste.DUPLICATE_ANSWER)
+            counters.countWasted(WastedMessage.DUPLICATE_ANSWER)
             return
         }
         val submission = attempt.submission
@@ -34,24 +37,24 @@
             if (submission.phase == SubmissionPhase.CLOSING) listener.settled(submission)
             return
         }
-        session.unresolved.remove(key)
-        account(attempt, outcome)
-        if (submission.outstanding[attempt.task] !== attempt) {
-            counters.waste(Waste.DUPLICATE_ANSWER)
+        session.unresolvedAttempts.remove(key)
+        updateCreditPool(attempt, outcome)
+        if (submission.outstandingAttempts[attempt.task] !== attempt) {
+            counters.countWasted(WastedMessage.DUPLICATE_ANSWER)
             return
         }
-        submission.outstanding.remove(attempt.task)
+        submission.outstandingAttempts.remove(attempt.task)
         settle(attempt, outcome)
     }
 
-    private fun account(
+    private fun updateCreditPool(
         attempt: Attempt,
         outcome: TaskOutcome,
     ) {
-        val pool = services.lane(attempt.submission).pool
+        val pool = services.queueFor(attempt.submission).pool
         when (outcome.status) {
             TaskStatus.NOT_RUN -> {
-                counters.waste(Waste.REFUSAL)
+                counters.countWasted(WastedMessage.REFUSAL)
                 pool.notRun(attempt.target)
             }
 
@@ -72,17 +75,17 @@
     ) {
         val submission = attempt.submission
         when (outcome.status) {
-            TaskStatus.DONE -> submission.complete(attempt.task, outcome.result.orEmpty())
+            TaskStatus.DONE -> submission.markDone(attempt.task, outcome.result.orEmpty())
             TaskStatus.ERROR -> submission.markStarted(attempt.task)
             TaskStatus.UNKNOWN -> submission.markUnknown(attempt.task)
             TaskStatus.NOT_RUN, TaskStatus.RUNNING -> Unit
         }
-        if (submission.phase == SubmissionPhase.OPEN) return proceed(attempt, outcome)
+        if (submission.phase == SubmissionPhase.OPEN) return finishOrRetry(attempt, outcome)
         attempt.release(services, teams)
-        if (submission.phase == SubmissionPhase.CLOSING) listener.settled(submission) else counters.waste(Waste.LATE_CANCEL)
+        if (submission.phase == SubmissionPhase.CLOSING) listener.settled(submission) else counters.countWasted(WastedMessage.LATE_CANCEL)
     }
 
-    private fun proceed(
+    private fun finishOrRetry(
         attempt: Attempt,
         outcome: TaskOutcome,
     ) {
@@ -93,38 +96,38 @@
                 if (submission.isComplete) completed(submission)
             }
 
-            outcome.status == TaskStatus.NOT_RUN || mayRetry(submission, attempt.task) -> {
-                dispatcher.again(submission, attempt.task)
+            outcome.status == TaskStatus.NOT_RUN || tryRetry(submission, attempt.task) -> {
+                dispatcher.requeue(submission, attempt.task)
             }
 
             else -> {
                 attempt.release(services, teams)
-                listener.failed(submission, error(attempt.task, outcome, submission))
+                listener.failed(submission, taskError(attempt.task, outcome, submission))
             }
         }
     }
 
-    private fun mayRetry(
+    private fun tryRetry(
         submission: Submission,
         task: Int,
     ): Boolean {
-        if (!submission.new.idempotent) return false
-        val made = submission.retries[task] ?: 0
-        if (made >= MAX_RETRIES || !services.retries(submission).tryRetry()) return false
-        submission.retries[task] = made + 1
-        counters.waste(Waste.RETRY)
+        if (!submission.spec.idempotent) return false
+        val retries = submission.retryCounts[task] ?: 0
+        if (retries >= MAX_RETRIES_PER_TASK || !services.retryBudget(submission).tryRetry()) return false
+        submission.retryCounts[task] = retries + 1
+        counters.countWasted(WastedMessage.RETRY)
         return true
     }
 
-    private fun error(
+    private fun taskError(
         task: Int,
         outcome: TaskOutcome,
         submission: Submission,
     ): ErrorBody {
         val code = if (outcome.status == TaskStatus.ERROR) ErrorCode.TASK_FAILED else ErrorCode.OUTCOME_UNKNOWN
-        val id = submission.new.tasks[task].id
-        val what = if (code == ErrorCode.TASK_FAILED) "Task $id failed" else "It is unknown whether task $id ran"
-        return ErrorBody(code, "$what: ${outcome.reason ?: "no reason given"}.")
+        val id = submission.spec.tasks[task].id
+        val summary = if (code == ErrorCode.TASK_FAILED) "Task $id failed" else "It is unknown whether task $id ran"
+        return ErrorBody(code, "$summary: ${outcome.reason ?: "no reason given"}.")
     }
 
     private fun completed(submission: Submission) {
@@ -134,36 +137,36 @@
 
     override fun creditsLost(session: AgentSession) = dispatcher.dropCredits(session)
 
-    override fun neverSent(attempt: Attempt) = resolve(attempt, TaskStatus.NOT_RUN, "never sent")
+    override fun neverSent(attempt: Attempt) = settleUnreported(attempt, TaskStatus.NOT_RUN, "never sent")
 
-    override fun outcomeLost(attempt: Attempt) = resolve(attempt, TaskStatus.UNKNOWN, "the agent ${attempt.session.agent} is gone")
+    override fun outcomeLost(attempt: Attempt) = settleUnreported(attempt, TaskStatus.UNKNOWN, "the agent ${attempt.session.agent} is gone")
 
-    private fun resolve(
+    private fun settleUnreported(
         attempt: Attempt,
         status: TaskStatus,
         reason: String,
     ) {
         val submission = attempt.submission
-        if (submission.outstanding[attempt.task] !== attempt) return
-        submission.outstanding.remove(attempt.task)
-        settle(attempt, attempt.outcome(status, reason))
+        if (submission.outstandingAttempts[attempt.task] !== attempt) return
+        submission.outstandingAttempts.remove(attempt.task)
+        settle(attempt, attempt.assumedOutcome(status, reason))
     }
 
-    private fun Attempt.outcome(
+    private fun Attempt.assumedOutcome(
         status: TaskStatus,
         reason: String,
     ) = TaskOutcome(submission = submission.id, task = task, attempt = number, status = status, reason = reason)
 
     private companion object {
-        const val MAX_RETRIES = 3
+        const val MAX_RETRIES_PER_TASK = 3
     }
 }
 
-/** The attempt counts in its queue and in the quota of its team no longer. */
+/** Removes the attempt from the running tasks of its queue and of its team. */
 internal fun Attempt.release(
     services: ServiceTable,
-    teams: TeamLedger,
+    teams: TeamUsage,
 ) {
-    services.lane(submission).queue.ended(submission.id, task)
-    teams.count(submission, running = -1)
+    services.queueFor(submission).jobs.ended(submission.id, task)
+    teams.adjust(submission, running = -1)
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/CallMetrics.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/CallMetrics.kt
@@ -9,12 +9,12 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Measures the calls of callers. */
+/** Metrics of the calls to [CallerApi]. */
 internal class CallMetrics(
     private val clock: Clock,
     registry: PrometheusRegistry,
 ) {
-    private val response: Histogram =
+    private val replySeconds: Histogram =
         Histogram
             .builder()
             .name("bluebellramp_entry_response_seconds")
@@ -24,18 +24,18 @@
     private val refusals =
         registry.counter("bluebellramp_entry_refused_calls_total", "Calls refused without an answer of the owner", "code")
 
-    /** The start of a call. */
+    /** Returns the start time to pass to [recordReply]. */
     fun start(): Duration = clock.monotonic()
 
-    /** Notes the reply to a call that began at [started]. */
-    fun finish(
+    /** Records the reply to a call that began at [started]. */
+    fun recordReply(
         started: Duration,
         kind: DispatchKind,
         reply: Reply,
     ) {
         val outcome =
             when (reply) {
-                is Reply.Whole -> {
+                is Reply.Answered -> {
                     reply.answer.outcome.name
                         .lowercase()
                 }
@@ -44,9 +44,9 @@
                     "refused"
                 }
             }
-        response.labelValues(kind.name.lowercase(), outcome).observe((clock.monotonic() - started).toDouble(DurationUnit.SECONDS))
+        replySeconds.labelValues(kind.name.lowercase(), outcome).observe((clock.monotonic() - started).toDouble(DurationUnit.SECONDS))
     }
 
-    /** Notes a refused call. */
-    fun refused(code: ErrorCode) = refusals.labelValues(code.name.lowercase()).inc()
+    /** Counts a refused call. */
+    fun recordRefusal(code: ErrorCode) = refusals.labelValues(code.name.lowercase()).inc()
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/CallerApi.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/CallerApi.kt
@@ -29,68 +29,68 @@
 import kotlin.time.TimeSource
 
 /**
- * The callers' API.
+ * The HTTP API for callers.
  *
- * A body with `outcome` is an [Answer] of the owner and final for its id. A caller may resubmit under a new id only after `not_run`. Any other
- * body is an [ErrorBody]: this entry started nothing of the call, and nobody runs a body that was refused with 4xx. After 503 with an
- * [ErrorBody] another entry may own the id, for example if a balancer sent the call twice, so send the same id again.
+ * A body with `outcome` is an [Answer] of the owner and final for its id. A caller may resubmit under a new id only after `not_run`. Any
+ * other body is an [ErrorBody]: this entry started nothing for the call, and no entry runs a body that was refused with 4xx. After 503 with
+ * an [ErrorBody] another entry may own the id, for example if a load balancer sent the call twice, so callers must send the same id again.
  *
  * | status | body | when |
  * | --- | --- | --- |
  * | 200 | `Answer` | `complete`, `failed`, or `not_run` after a cancel or a deadline |
- * | 202 | [PendingBody] | `wait` ran out |
- * | 400 | `ErrorBody` | the body is cut short, is not JSON or violates the schema; the id has a wrong form or a time in the future |
+ * | 202 | [PendingBody] | `wait` elapsed before the answer |
+ * | 400 | `ErrorBody` | the body is truncated, is not JSON or violates the schema; the id is malformed or its time is in the future |
  * | 404 | `ErrorBody` | unknown service, or an id that no live entry knows |
- * | 408 | `ErrorBody` | headers and body were not whole in time; the server says so before a route is asked |
- * | 409 | `ErrorBody` | the id belongs to another body |
+ * | 408 | `ErrorBody` | headers and body did not arrive in time; the server answers this before routing |
+ * | 409 | `ErrorBody` | the id was used with another body |
  * | 410 | `ErrorBody` | the id is too old |
  * | 413 | `ErrorBody` | the body is too large |
  * | 422 | `ErrorBody` | no executor can ever run it |
- * | 429 | `Answer`, `not_run` | the quota of the team is used up |
+ * | 429 | `Answer`, `not_run` | the quota of the team is exhausted |
  * | 503 | `Answer`, `not_run` | the queue is full or the deadline can't be met |
- * | 503 | `ErrorBody` | no lease or no memory for calls (`not_ready`), the entry is leaving, no majority for the claim, or the owner does not answer |
+ * | 503 | `ErrorBody` | no lease or memory (`not_ready`), shutdown, no majority for the claim, or the owner does not answer |
  */
 internal class CallerApi(
-    private val shell: EntryShell,
+    private val runner: EntryCoreRunner,
     private val peers: PeerClient,
-    private val reader: SubmissionReader,
+    private val parser: SubmissionParser,
     private val metrics: CallMetrics,
     private val bodyBytes: Long,
     private val budget: MemoryBudget,
-    private val isLeaving: () -> Boolean,
+    private val isShuttingDown: () -> Boolean,
 ) {
-    private val inFlight = AtomicInteger()
+    private val callsInFlight = AtomicInteger()
 
-    /** True if every call has its whole response. */
-    val isIdle get() = inFlight.get() == 0
+    /** True if no call is in progress. */
+    val isIdle get() = callsInFlight.get() == 0
 
-    /** Adds the routes. */
+    /** Adds the routes for callers. */
     fun Route.calls() {
-        post("/v1/jobs") { call.counted { submit(reader::job) } }
-        post("/v1/requests") { call.counted { submit(reader::request) } }
-        get("/v1/jobs/{id}") { call.counted { find() } }
-        post("/v1/jobs/{id}/cancel") { call.counted { cancel() } }
+        post("/v1/jobs") { call.countInFlight { submit(parser::parseJob) } }
+        post("/v1/requests") { call.countInFlight { submit(parser::parseRequest) } }
+        get("/v1/jobs/{id}") { call.countInFlight { find() } }
+        post("/v1/jobs/{id}/cancel") { call.countInFlight { cancel() } }
     }
 
-    /** A caller of an entry that is leaving is told to use its connection no more, so that its next call is not cut. */
-    private suspend fun ApplicationCall.counted(serve: suspend ApplicationCall.() -> Unit) {
-        inFlight.incrementAndGet()
+    /** Counts calls in progress. During shutdown the response closes the connection, so that the next call on it is not cut off. */
+    private suspend fun ApplicationCall.countInFlight(serve: suspend ApplicationCall.() -> Unit) {
+        callsInFlight.incrementAndGet()
         try {
-            if (isLeaving()) response.header(HttpHeaders.Connection, "close")
-            bounded(serve)
+            if (isShuttingDown()) response.header(HttpHeaders.Connection, "close")
+            withReservedMemory(serve)
         } finally {
-            inFlight.decrementAndGet()
+            callsInFlight.decrementAndGet()
         }
     }
 
-    /** A call for which there is no memory is refused before its body is read, so nothing of it is started or claimed. */
-    private suspend fun ApplicationCall.bounded(serve: suspend ApplicationCall.() -> Unit) {
-        val share = budget.admit(CALL_BYTES + BODY_COPIES * declaredBytes()) ?: return refuse(NO_ROOM)
-        attributes.put(SHARE, share)
+    /** Refuses a call for which there is no memory before its body is read, so nothing is started or claimed for it. */
+    private suspend fun ApplicationCall.withReservedMemory(serve: suspend ApplicationCall.() -> Unit) {
+        val reservation = budget.tryReserve(CALL_OVERHEAD_BYTES + BODY_COPIES * declaredBytes()) ?: return respondError(NO_MEMORY)
+        attributes.put(MEMORY_RESERVATION, reservation)
         try {
             serve()
         } finally {
-            share.close()
+            reservation.close()
         }
     }
 
@@ -100,130 +100,131 @@
             else -> request.headers[HttpHeaders.ContentLength]?.toLongOrNull()?.coerceIn(0, bodyBytes) ?: 0
         }
 
-    private suspend fun ApplicationCall.submit(read: (String) -> ReadResult) {
+    private suspend fun ApplicationCall.submit(parse: (String) -> ParseResult) {
         when (val body = readBody(bodyBytes)) {
             is BodyResult.Whole -> {
-                when (val result = read(body.text)) {
-                    is ReadResult.Valid -> accept(result.submission)
-                    is ReadResult.Invalid -> refuse(result.error)
+                when (val result = parse(body.text)) {
+                    is ParseResult.Valid -> accept(result.submission)
+                    is ParseResult.Invalid -> respondError(result.error)
                 }
             }
 
             BodyResult.TooLarge -> {
-                refuse(errorAt("$", ErrorCode.BODY_TOO_LARGE, "The body must be at most $bodyBytes bytes."))
+                respondError(errorAt("$", ErrorCode.BODY_TOO_LARGE, "The body must be at most $bodyBytes bytes."))
             }
 
             BodyResult.Cut -> {
-                refuse(errorAt("$", ErrorCode.INVALID_BODY, "The body is cut short or is not UTF-8."))
+                respondError(errorAt("$", ErrorCode.INVALID_BODY, "The body is cut short or is not UTF-8."))
             }
         }
     }
 
-    private suspend fun ApplicationCall.accept(submission: NewSubmission) {
-        val refusal = shell.use { now -> limits(submission, now) }
-        if (refusal != null) return refuse(refusal.withPath())
+    private suspend fun ApplicationCall.accept(submission: SubmissionSpec) {
+        val refusal = runner.withCore { now -> checkLimits(submission, now) }
+        if (refusal != null) return respondError(refusal.withPath())
         val started = metrics.start()
-        attributes[SHARE].resize(CALL_BYTES)
-        val reply = await(submission.id, shell.submit(submission)) ?: return
-        metrics.finish(started, submission.kind, reply)
+        attributes[MEMORY_RESERVATION].resize(CALL_OVERHEAD_BYTES)
+        val reply = awaitAndRespond(submission.id, runner.submit(submission)) ?: return
+        metrics.recordReply(started, submission.kind, reply)
     }
 
     private suspend fun ApplicationCall.find() {
-        val id = id() ?: return refuse(ErrorBody(ErrorCode.INVALID_SUBMISSION, "The id is no UUID version 7 in lower case."))
-        val reply = shell.find(id) ?: return findElsewhere(id)
-        await(id, reply)
+        val id = id() ?: return respondError(ErrorBody(ErrorCode.INVALID_SUBMISSION, "The id is no UUID version 7 in lower case."))
+        val reply = runner.find(id) ?: return findAtPeers(id)
+        awaitAndRespond(id, reply)
     }
 
     private suspend fun ApplicationCall.cancel() {
-        val id = id() ?: return refuse(ErrorBody(ErrorCode.INVALID_SUBMISSION, "The id is no UUID version 7 in lower case."))
-        val reply = shell.find(id)
+        val id = id() ?: return respondError(ErrorBody(ErrorCode.INVALID_SUBMISSION, "The id is no UUID version 7 in lower case."))
+        val reply = runner.find(id)
         if (reply != null) {
-            shell.use { now -> cancel(id, now) }
-            await(id, reply)
+            runner.withCore { now -> cancel(id, now) }
+            awaitAndRespond(id, reply)
             return
         }
-        val found = peers.cancelEverywhere(id)
-        if (found == PeerSearch.Found) findElsewhere(id, isKnown = true) else respondMissing(id, found)
+        val found = peers.cancelAtAllPeers(id)
+        if (found == PeerSearchResult.Found) findAtPeers(id, isKnown = true) else respondMissing(id, found)
     }
 
     /**
-     * Answers for an id that this entry has not seen with what the entry that owns it says.
+     * Answers a call about an id that this entry does not know by asking the other entries.
      *
-     * @param isKnown true if an entry knows the id, even if that is not its owner
+     * @param isKnown true if some entry is already known to have the id, even if it is not the owner
      */
-    private suspend fun ApplicationCall.findElsewhere(
+    private suspend fun ApplicationCall.findAtPeers(
         id: SubmissionId,
         isKnown: Boolean = false,
     ) {
         val wait = waitMillis()?.milliseconds
         val start = TimeSource.Monotonic.markNow()
         while (true) {
-            val left = wait?.let { (it - start.elapsedNow()).coerceAtLeast(Duration.ZERO) }
-            val found = peers.findEverywhere(id, minOf(left ?: PEER_WAIT, PEER_WAIT))
+            val remaining = wait?.let { (it - start.elapsedNow()).coerceAtLeast(Duration.ZERO) }
+            val found = peers.findAtAllPeers(id, minOf(remaining ?: MAX_PEER_WAIT, MAX_PEER_WAIT))
             when {
-                found is PeerSearch.Answered -> return answer(Reply.Whole(found.answer))
-                found !is PeerSearch.Pending -> return respondMissing(id, if (isKnown) PeerSearch.Unclear else found)
-                left == Duration.ZERO -> return respondPending(found.body)
+                found is PeerSearchResult.Answered -> return respondReply(Reply.Answered(found.answer))
+                found !is PeerSearchResult.Pending -> return respondMissing(id, if (isKnown) PeerSearchResult.Uncertain else found)
+                remaining == Duration.ZERO -> return respondPending(found.body)
             }
         }
     }
 
     private suspend fun ApplicationCall.respondMissing(
         id: SubmissionId,
-        found: PeerSearch,
-    ) = if (found == PeerSearch.Unknown) {
-        refuse(ErrorBody(ErrorCode.NOT_FOUND, "No live entry knows $id."))
+        found: PeerSearchResult,
+    ) = if (found == PeerSearchResult.Unknown) {
+        respondError(ErrorBody(ErrorCode.NOT_FOUND, "No live entry knows $id."))
     } else {
-        refuse(ErrorBody(ErrorCode.OWNER_UNREACHABLE, "This entry does not know $id, and another entry did not answer."))
+        respondError(ErrorBody(ErrorCode.OWNER_UNREACHABLE, "This entry does not know $id, and another entry did not answer."))
     }
 
-    private suspend fun ApplicationCall.await(
+    private suspend fun ApplicationCall.awaitAndRespond(
         id: SubmissionId,
         reply: Deferred<Reply>,
     ): Reply? {
         val wait = waitMillis()
-        val whole = if (wait == null) reply.await() else reply.awaitUpTo(wait.milliseconds)
-        if (whole == null) respondPending(progress(id)) else answer(whole)
-        if (whole is Reply.Whole) shell.use { fetched(id) }
-        return whole
+        val finalReply = if (wait == null) reply.await() else reply.awaitUpTo(wait.milliseconds)
+        if (finalReply == null) respondPending(progress(id)) else respondReply(finalReply)
+        if (finalReply is Reply.Answered) runner.withCore { markFetched(id) }
+        return finalReply
     }
 
-    /** The count of the owner, which may be another entry. */
+    /** Returns the progress reported by the owner, which may be another entry. */
     private suspend fun progress(id: SubmissionId): PendingBody =
-        shell.use { progress(id) } ?: (peers.findEverywhere(id, Duration.ZERO) as? PeerSearch.Pending)?.body ?: PendingBody(id)
+        runner.withCore { progress(id) } ?: (peers.findAtAllPeers(id, Duration.ZERO) as? PeerSearchResult.Pending)?.body ?: PendingBody(id)
 
-    private suspend fun ApplicationCall.answer(reply: Reply) =
+    private suspend fun ApplicationCall.respondReply(reply: Reply) =
         when (reply) {
-            is Reply.Whole -> respondAnswer(reply.answer)
-            is Reply.Refused -> refuse(reply.error)
+            is Reply.Answered -> respondAnswer(reply.answer)
+            is Reply.Refused -> respondError(reply.error)
         }
 
     private suspend fun ApplicationCall.respondAnswer(answer: Answer) {
         val text = WireJson.encodeToString(Answer.serializer(), answer)
-        attributes[SHARE].resize(CALL_BYTES + ANSWER_COPIES * text.length)
+        attributes[MEMORY_RESERVATION].resize(CALL_OVERHEAD_BYTES + ANSWER_COPIES * text.length)
         respondJson(answer.httpStatus(), text)
     }
 
-    private suspend fun ApplicationCall.refuse(error: ErrorBody) {
-        metrics.refused(error.code)
+    private suspend fun ApplicationCall.respondError(error: ErrorBody) {
+        metrics.recordRefusal(error.code)
         respondJson(error.code.httpStatus(), WireJson.encodeToString(ErrorBody.serializer(), error))
     }
 
     private fun ApplicationCall.id() = SubmissionId.parse(parameters["id"].orEmpty())
 
     private companion object {
-        /** How long one question to the other entries waits for an answer. */
-        val PEER_WAIT = 1.seconds
-        val SHARE = AttributeKey<MemoryBudget.Share>("memory")
-        val NO_ROOM = ErrorBody(ErrorCode.NOT_READY, "This entry has no memory for more calls. It started nothing. Send the same id again.")
+        /** Longest time that one query lets the other entries wait for the answer. */
+        val MAX_PEER_WAIT = 1.seconds
+        val MEMORY_RESERVATION = AttributeKey<MemoryBudget.Reservation>("memory")
+        val NO_MEMORY =
+            ErrorBody(ErrorCode.NOT_READY, "This entry has no memory for more calls. It started nothing. Send the same id again.")
 
-        /** Memory of a call besides its bodies, with its connection. */
-        const val CALL_BYTES = 16L * 1024
+        /** Memory of a call and its connection, without request and response bodies. */
+        const val CALL_OVERHEAD_BYTES = 16L * 1024
 
-        /** Copies of a body while it is read: bytes, text, canonical text and tasks. */
+        /** Copies of a request body in memory while it is read: bytes, text, canonical text and tasks. */
         const val BODY_COPIES = 4
 
-        /** Copies of an answer while it is written: text and bytes. */
+        /** Copies of an answer in memory while it is written: text and bytes. */
         const val ANSWER_COPIES = 2
     }
 }
@@ -234,15 +235,16 @@
     message: String,
 ) = ErrorBody(code, message, listOf(Violation(path, message)))
 
-/** Adds the place in the body of an error that the core, which knows no bodies, found. */
+/** Adds the path in the body to an error from the core, which does not know the body. */
 private fun ErrorBody.withPath() =
     if (code == ErrorCode.UNKNOWN_SERVICE && violations.isEmpty()) errorAt("$.service", code, message) else this
 
-/** The value of `wait` (ms), or null if the call waits for the answer. */
+/** The query parameter `wait` (ms), or null if the call waits until the answer is there. */
 internal fun ApplicationCall.waitMillis(): Long? = request.queryParameters["wait"]?.toLongOrNull()?.coerceAtLeast(0)
 
-/** Returns the value, or null if it does not come within [time]. A value that is there is returned even if [time] is zero. */
-internal suspend fun <T : Any> Deferred<T>.awaitUpTo(time: Duration): T? = if (isCompleted) await() else withTimeoutOrNull(time) { await() }
+/** Returns the value, or null if it is not available within [timeout]. A completed value is returned even if [timeout] is zero. */
+internal suspend fun <T : Any> Deferred<T>.awaitUpTo(timeout: Duration): T? =
+    if (isCompleted) await() else withTimeoutOrNull(timeout) { await() }
 
 internal suspend fun ApplicationCall.respondPending(body: PendingBody) =
     respondJson(HttpStatusCode.Accepted, WireJson.encodeToString(PendingBody.serializer(), body))
--- a/entry/src/main/kotlin/io/bluebellramp/entry/ClaimsClient.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/ClaimClient.kt
@@ -28,81 +28,81 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Claims submissions at the voting members in batches: all that wait go in one call to each member. */
-internal class ClaimsClient(
+/** Requests claims from the voting members in batches: all pending claims go into one call to each member. */
+internal class ClaimClient(
     private val http: HttpClient,
     private val identity: EntryIdentity,
     private val clock: Clock,
-    private val shell: EntryShell,
+    private val runner: EntryCoreRunner,
 ) {
-    private class Wanted(
+    private class PendingClaim(
         val claim: Claim,
-        val triesLeft: Int = TRIES,
+        val triesLeft: Int = MAX_TRIES,
     )
 
-    private val wanted = Channel<Wanted>(Channel.UNLIMITED)
+    private val pendingClaims = Channel<PendingClaim>(Channel.UNLIMITED)
 
-    private class Released(
+    private class PendingRelease(
         val submission: SubmissionId,
         val lastRound: Long,
     )
 
-    private val released = Channel<Released>(Channel.UNLIMITED)
+    private val pendingReleases = Channel<PendingRelease>(Channel.UNLIMITED)
     private val rounds = AtomicLong()
-    private val inFlight = Semaphore(MAX_BATCHES)
+    private val batchSlots = Semaphore(MAX_BATCHES_IN_FLIGHT)
 
-    /** Adds a claim to the next batch. The verdict goes to the core. */
-    fun ask(claim: Action.Claim) {
-        wanted.trySend(Wanted(Claim(submission = claim.submission, digest = claim.digest, takeover = claim.takeover)))
+    /** Adds a claim to the next batch. The result is passed to [EntryCore.onClaimResult]. */
+    fun enqueueClaim(claim: Action.Claim) {
+        pendingClaims.trySend(PendingClaim(Claim(submission = claim.submission, digest = claim.digest, takeover = claim.takeover)))
     }
 
-    /** Adds a release to the next batch of releases. It ends claims of the rounds so far, and not of a later one. */
-    fun release(submission: SubmissionId) {
-        released.trySend(Released(submission, rounds.get()))
+    /** Adds a release to the next batch. It applies to claims of the rounds started so far, not of later ones. */
+    fun enqueueRelease(submission: SubmissionId) {
+        pendingReleases.trySend(PendingRelease(submission, rounds.get()))
     }
 
-    /** Sends batches until it is cancelled. */
+    /** Sends batches until cancelled. */
     suspend fun run() =
         coroutineScope {
             launch {
-                for (first in released) {
-                    val batch = released.batch(first)
+                for (first in pendingReleases) {
+                    val batch = pendingReleases.batch(first)
                     launch { releaseAll(batch) }
                 }
             }
-            for (first in wanted) {
-                inFlight.acquire()
-                val batch = wanted.batch(first)
+            for (first in pendingClaims) {
+                batchSlots.acquire()
+                val batch = pendingClaims.batch(first)
                 launch { claimAll(batch) }
             }
         }
 
-    private suspend fun claimAll(batch: List<Wanted>) {
-        val members = shell.use { now -> lease.members?.takeIf { lease.isLive(now) } }
+    private suspend fun claimAll(batch: List<PendingClaim>) {
+        val members = runner.withCore { now -> lease.members?.takeIf { lease.isLive(now) } }
         val tallies = batch.map { ClaimTally(members?.members?.size ?: 0, identity.incarnation) }
         val round = ClaimRound(batch, tallies)
         if (members == null || members.members.isEmpty()) {
-            inFlight.release()
-            round.finishAll()
+            batchSlots.release()
+            round.deliverUnavailable()
             return
         }
         val sent = clock.monotonic()
-        val number = rounds.incrementAndGet()
+        val roundNumber = rounds.incrementAndGet()
         coroutineScope {
             members.members.forEach { member ->
                 launch {
-                    val verdicts = ask(member.address, members, batch, number)
-                    shell.use { now -> round.add(verdicts.takeIf { now - sent < ROUND }) }
-                    round.deliver()
+                    val verdicts = requestVerdicts(member.address, members, batch, roundNumber)
+                    runner.withCore { now -> round.add(verdicts.takeIf { now - sent < ROUND_TIMEOUT }) }
+                    round.deliverResults()
                 }
             }
         }
         round.releaseSlot()
     }
 
-    /** One batch and the verdicts on it. It gives up its place in flight as soon as every claim is decided. */
+    /** One batch of claims and its verdicts. Its slot is released as soon as every claim has a result. */
     private inner class ClaimRound(
-        private val batch: List<Wanted>,
+        private val batch: List<PendingClaim>,
         private val tallies: List<ClaimTally>,
     ) {
         private val results = arrayOfNulls<ClaimResult>(batch.size)
@@ -116,55 +116,55 @@
             }
         }
 
-        suspend fun deliver() {
-            shell.use { now ->
+        suspend fun deliverResults() {
+            runner.withCore { now ->
                 results.forEachIndexed { i, result ->
                     if (result != null && !delivered[i]) {
                         delivered[i] = true
-                        if (!again(batch[i], result)) claimed(batch[i].claim.submission, result, now)
+                        if (!retry(batch[i], result)) onClaimResult(batch[i].claim.submission, result, now)
                     }
                 }
             }
             if (delivered.all { it }) releaseSlot()
         }
 
-        suspend fun finishAll() {
-            shell.use { now ->
-                batch.forEach { if (!again(it, ClaimResult.Unavailable)) claimed(it.claim.submission, ClaimResult.Unavailable, now) }
+        suspend fun deliverUnavailable() {
+            runner.withCore { now ->
+                batch.forEach { if (!retry(it, ClaimResult.Unavailable)) onClaimResult(it.claim.submission, ClaimResult.Unavailable, now) }
             }
         }
 
         fun releaseSlot() {
             synchronized(this) {
-                if (hasSlot) inFlight.release()
+                if (hasSlot) batchSlots.release()
                 hasSlot = false
             }
         }
     }
 
-    private fun again(
-        tried: Wanted,
+    private fun retry(
+        claim: PendingClaim,
         result: ClaimResult,
     ): Boolean {
-        if (tried.triesLeft <= 1 || !result.isOpen) return false
-        retries.trySend(Wanted(tried.claim, tried.triesLeft - 1))
+        if (claim.triesLeft <= 1 || !result.isRetryable) return false
+        failedClaims.trySend(PendingClaim(claim.claim, claim.triesLeft - 1))
         return true
     }
 
-    private val retries = Channel<Wanted>(Channel.UNLIMITED)
+    private val failedClaims = Channel<PendingClaim>(Channel.UNLIMITED)
 
-    /** Sends what had no majority again after a pause, until it is cancelled. */
+    /** Adds claims without a majority to the pending claims again after a delay, until cancelled. */
     suspend fun runRetries() {
-        for (first in retries) {
-            delay(RETRY)
-            retries.batch(first).forEach { wanted.trySend(it) }
+        for (first in failedClaims) {
+            delay(RETRY_DELAY)
+            failedClaims.batch(first).forEach { pendingClaims.trySend(it) }
         }
     }
 
-    private suspend fun ask(
+    private suspend fun requestVerdicts(
         member: Address,
         members: ClaimMembers,
-        batch: List<Wanted>,
+        batch: List<PendingClaim>,
         round: Long,
     ): List<ClaimVerdict>? {
         val request =
@@ -187,8 +187,8 @@
         return body.verdicts.takeIf { body.membership == members.version && it.size == batch.size }
     }
 
-    private suspend fun releaseAll(batch: List<Released>) {
-        val members = shell.use { lease.members } ?: return
+    private suspend fun releaseAll(batch: List<PendingRelease>) {
+        val members = runner.withCore { lease.members } ?: return
         val releases =
             batch.groupBy({ it.lastRound }, { it.submission }).map { (round, submissions) ->
                 ClaimRelease(incarnation = identity.incarnation, submissions = submissions, sequence = round)
@@ -218,17 +218,17 @@
 
     private fun <T> Channel<T>.batch(first: T): List<T> {
         val batch = arrayListOf(first)
-        while (batch.size < MAX_BATCH) batch += tryReceive().getOrNull() ?: break
+        while (batch.size < MAX_BATCH_SIZE) batch += tryReceive().getOrNull() ?: break
         return batch
     }
 
     private companion object {
-        /** Members rely on a majority that is counted within this time. */
-        val ROUND = 1.seconds
-        const val MAX_BATCH = 1_000
-        const val MAX_BATCHES = 4
-        const val TRIES = 12
-        val RETRY = 30.milliseconds
+        /** Verdicts that arrive later do not count, because the members rely on a majority being reached within this time. */
+        val ROUND_TIMEOUT = 1.seconds
+        const val MAX_BATCH_SIZE = 1_000
+        const val MAX_BATCHES_IN_FLIGHT = 4
+        const val MAX_TRIES = 12
+        val RETRY_DELAY = 30.milliseconds
         val CALL_TIMEOUT = 400.milliseconds
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/ClaimResult.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/ClaimResult.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.messages.ClaimHolder
 
-/** What came of a claim at the members. */
+/** The result of a claim at the voting members. */
 internal sealed interface ClaimResult {
     /** A majority granted the claim. */
     data object Granted : ClaimResult
@@ -13,14 +13,17 @@
         val digest: String,
     ) : ClaimResult
 
-    /** Each claimant blocks the other. This entry has precedence and tries again, unless the other stays. */
+    /**
+     * The votes are split with [other] and neither claimant can win. This entry has precedence and retries; [other] wins if the last retry
+     * is split, too.
+     */
     data class Split(
         val other: Held,
     ) : ClaimResult
 
-    /** No majority answered in one version of the membership. */
+    /** No majority of the members answered with the same membership version. */
     data object Unavailable : ClaimResult
 
-    /** True if another try may bring another result. */
-    val isOpen get() = this is Split || this is Unavailable
+    /** True if a retry may have another result. */
+    val isRetryable get() = this is Split || this is Unavailable
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/ClaimTally.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/ClaimTally.kt
@@ -6,8 +6,8 @@
 /**
  * Counts the verdicts of the voting members on one claim.
  *
- * A majority of grants makes the claimant the owner. Once that is impossible, the claimant with the greater incarnation yields
- * to a holder that was seen, so two entries never block each other for ever.
+ * A majority of grants makes the claimant the owner. Once no majority is possible, the claimant with the greater incarnation yields to
+ * the other holder, so that two entries never block each other permanently.
  *
  * @param voters number of voting members
  */
@@ -17,38 +17,38 @@
 ) {
     private val majority = voters / 2 + 1
     private var granted = 0
-    private var silent = 0
+    private var abstentions = 0
     private val refusals = ArrayList<ClaimVerdict>()
 
-    /** Counts the verdict of one member. Null stands for a member that abstains, counts in another version or does not answer. */
+    /** Adds the verdict of one member. Null means that it abstains, has another membership version or does not answer. */
     fun add(verdict: ClaimVerdict?) {
         when {
-            verdict == null -> silent++
+            verdict == null -> abstentions++
             verdict.granted -> granted++
-            verdict.holder == null -> silent++
+            verdict.holder == null -> abstentions++
             else -> refusals += verdict
         }
     }
 
-    /** Returns the result once it is certain, or null. */
+    /** Returns the result once no further verdict can change it, else null. */
     fun result(): ClaimResult? {
         if (granted >= majority) return ClaimResult.Granted
-        val open = voters - granted - silent - refusals.size
-        if (granted + open >= majority) return null
+        val outstanding = voters - granted - abstentions - refusals.size
+        if (granted + outstanding >= majority) return null
         ownerByMajority()?.let { return it }
-        if (open > 0) return null
-        return withoutMajority()
+        if (outstanding > 0) return null
+        return resultWithoutMajority()
     }
 
-    private fun ownerByMajority() = refusals.firstOrNull { seen(it) >= majority }?.let(::held)
+    private fun ownerByMajority() = refusals.firstOrNull { countSameHolder(it) >= majority }?.let(::toHeld)
 
-    private fun withoutMajority(): ClaimResult {
-        val first = refusals.minByOrNull { it.holder!!.incarnation.value } ?: return ClaimResult.Unavailable
-        val yields = granted == 0 || self.value > first.holder!!.incarnation.value
-        return if (yields) held(first) else ClaimResult.Split(held(first))
+    private fun resultWithoutMajority(): ClaimResult {
+        val earliest = refusals.minByOrNull { it.holder!!.incarnation.value } ?: return ClaimResult.Unavailable
+        val yields = granted == 0 || self.value > earliest.holder!!.incarnation.value
+        return if (yields) toHeld(earliest) else ClaimResult.Split(toHeld(earliest))
     }
 
-    private fun seen(verdict: ClaimVerdict) = refusals.count { it.holder!!.incarnation == verdict.holder!!.incarnation }
+    private fun countSameHolder(verdict: ClaimVerdict) = refusals.count { it.holder!!.incarnation == verdict.holder!!.incarnation }
 
-    private fun held(verdict: ClaimVerdict) = ClaimResult.Held(holder = verdict.holder!!, digest = verdict.digest.orEmpty())
+    private fun toHeld(verdict: ClaimVerdict) = ClaimResult.Held(holder = verdict.holder!!, digest = verdict.digest.orEmpty())
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/DecisionLog.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/DecisionLog.kt
@@ -11,44 +11,44 @@
 /**
  * Writes one log line for each decision, outside of the core's coroutine.
  *
- * No line is dropped. A line that waits counts in [budget], so new calls are refused while the log can't keep up.
+ * No line is dropped. Queued lines count in [budget], so new calls are refused while the log can't keep up.
  */
 internal class DecisionLog(
     private val entry: EntryId,
     private val budget: MemoryBudget,
-    private val put: (Decision) -> Unit = ::logDecision,
+    private val emit: (Decision) -> Unit = ::logDecision,
 ) {
     private val decisions = Channel<Action>(Channel.UNLIMITED)
 
-    /** Adds a decision. */
+    /** Queues a decision. */
     fun add(decision: Action) {
-        budget.take(LINE_BYTES)
+        budget.reserve(BYTES_PER_LINE)
         decisions.trySend(decision)
     }
 
-    /** Takes no more decisions. [run] ends once the lines that wait are written. */
+    /** Accepts no more decisions. [run] ends once the queued lines are written. */
     fun close() {
         decisions.close()
     }
 
-    /** Writes decisions until [close]. */
+    /** Writes queued decisions until [close] was called and the queue is empty. */
     suspend fun run() =
         withContext(Dispatchers.IO) {
             for (decision in decisions) {
                 write(decision)
-                budget.give(LINE_BYTES)
+                budget.release(BYTES_PER_LINE)
             }
         }
 
     private fun write(decision: Action) {
         when (decision) {
-            is Action.LogPlacement -> put(decision.line())
-            is Action.LogRouting -> put(decision.line())
+            is Action.LogPlacementDecision -> emit(decision.line())
+            is Action.LogSubmissionDecision -> emit(decision.line())
             else -> Unit
         }
     }
 
-    private fun Action.LogPlacement.line() =
+    private fun Action.LogPlacementDecision.line() =
         Decision(
             kind = "place",
             reason = "credit",
@@ -61,23 +61,23 @@
                     "target" to target,
                     "zone" to zone,
                     "entry" to entry,
-                    "candidates" to candidates.text(),
+                    "candidates" to candidates.describe(),
                 ),
         )
 
-    private fun Action.LogRouting.line() =
+    private fun Action.LogSubmissionDecision.line() =
         Decision(kind = kind, reason = reason, fields = mapOf("submission" to submission, "entry" to entry))
 
-    private fun Candidates.text(): String {
-        val figures = shown.joinToString(" ") { it.figures() }
-        return if (count == shown.size) figures else "$figures and ${count - shown.size} more"
+    private fun PlacementCandidates.describe(): String {
+        val summary = shown.joinToString(" ") { it.summary() }
+        return if (total == shown.size) summary else "$summary and ${total - shown.size} more"
     }
 
-    /** Target, unspent credits and running tasks. */
-    private fun CreditedTarget.figures() = "$target:$credits/$running"
+    /** Formats target, unspent credits and running tasks as `target:credits/running`. */
+    private fun CreditedTarget.summary() = "$target:$credits/$running"
 
     companion object {
-        /** Memory of one line that waits: its objects and its part of the candidates. */
-        const val LINE_BYTES = 200L
+        /** Memory of one queued line: its objects and its part of the candidates. */
+        const val BYTES_PER_LINE = 200L
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Dispatcher.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Dispatcher.kt
@@ -5,130 +5,130 @@
 import io.bluebellramp.placement.CreditedTarget
 import io.bluebellramp.placement.QueuedJob
 
-/** Queues owned submissions and places their tasks against credits. No I/O. */
+/** Queues the submissions that this entry owns and dispatches their tasks to agents as credits allow. No I/O. */
 internal class Dispatcher(
-    private val lease: LeaseKeeper,
+    private val lease: LeaseState,
     private val agents: AgentDirectory,
     private val services: ServiceTable,
-    private val teams: TeamLedger,
-    private val counters: Counters,
-    private val sink: ActionSink,
+    private val teams: TeamUsage,
+    private val counters: EntryCounters,
+    private val actions: ActionBuffer,
 ) {
-    private val open = HashMap<SubmissionId, Submission>()
+    private val openSubmissions = HashMap<SubmissionId, Submission>()
 
     /** Adds an owned submission to its queue. */
     fun enqueue(submission: Submission) {
-        open[submission.id] = submission
-        teams.count(submission, waiting = submission.size)
-        services.lane(submission).queue.add(
+        openSubmissions[submission.id] = submission
+        teams.adjust(submission, waiting = submission.size)
+        services.queueFor(submission).jobs.add(
             QueuedJob(
                 submission = submission.id,
-                team = submission.new.team,
+                team = submission.spec.team,
                 tasks =
-                    submission.new.tasks.indices
+                    submission.spec.tasks.indices
                         .toList(),
                 arrived = submission.arrived,
                 deadline = submission.deadline,
             ),
         )
-        if (submission.new.idempotent) repeat(submission.size) { services.retries(submission).requested() }
-        run(submission.new.service)
-        if (services.lane(submission).queue.waiting > 0) agents.wakeIdle(submission.new.service)
+        if (submission.spec.idempotent) repeat(submission.size) { services.retryBudget(submission).requested() }
+        placeTasks(submission.spec.service)
+        if (services.queueFor(submission).jobs.waiting > 0) agents.flushLinksWithoutDemand(submission.spec.service)
     }
 
-    /** Drops what waits of [submission] and cancels what is in flight. */
-    fun drop(submission: Submission) {
-        if (open.remove(submission.id) == null) return
-        teams.count(
+    /** Removes the waiting tasks of [submission] and cancels its dispatched ones. */
+    fun cancelAll(submission: Submission) {
+        if (openSubmissions.remove(submission.id) == null) return
+        teams.adjust(
             submission,
             waiting =
                 -services
-                    .lane(submission)
-                    .queue
+                    .queueFor(submission)
+                    .jobs
                     .remove(submission.id)
                     .size,
         )
-        submission.outstanding.values
+        submission.outstandingAttempts.values
             .toList()
-            .forEach(::cancel)
-        run(submission.new.service)
+            .forEach(::cancelAttempt)
+        placeTasks(submission.spec.service)
     }
 
-    private fun cancel(attempt: Attempt) {
+    private fun cancelAttempt(attempt: Attempt) {
         val session = attempt.session
         if (!attempt.isSent && session.outbox.dispatches.remove(attempt)) {
-            session.unresolved.remove(attempt.key)
-            attempt.submission.outstanding.remove(attempt.task)
+            session.unresolvedAttempts.remove(attempt.key)
+            attempt.submission.outstandingAttempts.remove(attempt.task)
             attempt.release(services, teams)
-            val pool = services.lane(attempt.submission).pool
+            val pool = services.queueFor(attempt.submission).pool
             pool.notRun(attempt.target)
             pool.grant(target = attempt.target, zone = session.zone, credits = 1)
             return
         }
         session.outbox.cancels += attempt.reference
-        agents.wake(session)
+        agents.requestFlush(session)
     }
 
-    /** Notes that every task of [submission] has ended. */
+    /** Removes [submission], of which every task has ended. */
     fun completed(submission: Submission) {
-        open.remove(submission.id)
-        services.lane(submission).queue.remove(submission.id)
+        openSubmissions.remove(submission.id)
+        services.queueFor(submission).jobs.remove(submission.id)
     }
 
-    /** Queues a task again of which the last attempt is settled. */
-    fun again(
+    /** Queues a task for another attempt. Its last attempt must be settled. */
+    fun requeue(
         submission: Submission,
         task: Int,
     ) {
-        submission.attempts[task]++
-        teams.count(submission, waiting = 1, running = -1)
-        services.lane(submission).queue.giveBack(submission.id, task)
-        run(submission.new.service)
+        submission.attemptNumbers[task]++
+        teams.adjust(submission, waiting = 1, running = -1)
+        services.queueFor(submission).jobs.giveBack(submission.id, task)
+        placeTasks(submission.spec.service)
     }
 
-    /** Asks the agents about the attempts of [submission] that are not known to have started. */
+    /** Asks the agents whether the attempts of [submission] have started where that is not known. */
     fun inquire(submission: Submission) =
-        submission.outstanding.values.filter { !submission.isStarted(it.task) }.forEach {
+        submission.outstandingAttempts.values.filter { !submission.isStarted(it.task) }.forEach {
             it.session.outbox.inquiries += it.reference
-            agents.wake(it.session)
+            agents.requestFlush(it.session)
         }
 
-    /** Places what can be placed. */
-    fun runAll() = services.ids.toList().forEach(::run)
+    /** Places the waiting tasks of all services as far as credits allow. */
+    fun placeAllTasks() = services.ids.toList().forEach(::placeTasks)
 
-    /** Places what can be placed of [service]. */
-    fun run(service: ServiceId) {
+    /** Places the waiting tasks of [service] as far as credits allow. */
+    fun placeTasks(service: ServiceId) {
         if (!lease.isLive(services.now)) return
-        val lanes = services.known(service) ?: return
-        lanes.all.forEach(::run)
+        val queues = services.existingQueues(service) ?: return
+        queues.all.forEach(::placeTasks)
     }
 
-    private fun run(lane: Lane) {
-        if (lane.queue.waiting == 0) return
-        val unspent = lane.pool.unspent()
+    private fun placeTasks(queue: DispatchQueue) {
+        if (queue.jobs.waiting == 0) return
+        val unspent = queue.pool.unspent()
         if (unspent.isEmpty()) return
-        val candidates = Candidates.of(unspent)
-        while (lane.queue.waiting > 0) if (!placeNext(lane, candidates)) return
+        val candidates = PlacementCandidates.of(unspent)
+        while (queue.jobs.waiting > 0) if (!placeNext(queue, candidates)) return
     }
 
     private fun placeNext(
-        lane: Lane,
-        candidates: Candidates,
+        queue: DispatchQueue,
+        candidates: PlacementCandidates,
     ): Boolean {
-        val spent = lane.pool.spend(services.now) ?: return false
-        val session = agents.byTarget(spent.target)
+        val creditedTarget = queue.pool.spend(services.now) ?: return false
+        val session = agents.sessionOfTarget(creditedTarget.target)
         if (session == null) {
-            lane.pool.drop(spent.target)
+            queue.pool.drop(creditedTarget.target)
             return true
         }
-        val pick = lane.queue.take(services.now)
-        val submission = pick?.let { open[it.submission] }
-        if (pick == null || submission == null) {
-            lane.pool.notRun(spent.target)
-            lane.pool.grant(target = spent.target, zone = spent.zone, credits = 1)
+        val nextTask = queue.jobs.take(services.now)
+        val submission = nextTask?.let { openSubmissions[it.submission] }
+        if (nextTask == null || submission == null) {
+            queue.pool.notRun(creditedTarget.target)
+            queue.pool.grant(target = creditedTarget.target, zone = creditedTarget.zone, credits = 1)
             return false
         }
-        place(submission, pick.task, session, spent, candidates)
+        place(submission, nextTask.task, session, creditedTarget, candidates)
         return true
     }
 
@@ -136,69 +136,69 @@
         submission: Submission,
         task: Int,
         session: AgentSession,
-        spent: CreditedTarget,
-        candidates: Candidates,
+        creditedTarget: CreditedTarget,
+        candidates: PlacementCandidates,
     ) {
         val attempt =
             Attempt(
                 submission = submission,
                 task = task,
-                number = submission.attempts[task],
+                number = submission.attemptNumbers[task],
                 session = session,
-                target = spent.target,
-                dispatched = services.now,
+                target = creditedTarget.target,
+                dispatchedAt = services.now,
             )
-        teams.count(submission, waiting = -1, running = 1)
-        submission.outstanding[task] = attempt
-        session.unresolved[attempt.key] = attempt
+        teams.adjust(submission, waiting = -1, running = 1)
+        submission.outstandingAttempts[task] = attempt
+        session.unresolvedAttempts[attempt.key] = attempt
         session.outbox.dispatches += attempt
         counters.dispatched++
-        agents.wake(session)
-        sink +=
-            Action.LogPlacement(
+        agents.requestFlush(session)
+        actions +=
+            Action.LogPlacementDecision(
                 submission = submission.id,
                 task = task,
                 attempt = attempt.number,
-                service = submission.new.service,
-                target = spent.target,
-                zone = spent.zone,
+                service = submission.spec.service,
+                target = creditedTarget.target,
+                zone = creditedTarget.zone,
                 candidates = candidates,
             )
     }
 
-    /** Forgets the credits of [session], for example because its target has gone. */
+    /** Discards the credits of [session], for example because its target is gone. */
     fun dropCredits(session: AgentSession) {
         val target = session.target ?: return
-        services.known(target.service)?.all?.forEach { it.pool.drop(target.target) }
+        services.existingQueues(target.service)?.all?.forEach { it.pool.drop(target.target) }
     }
 
-    /** Adds credits that [session] granted. */
+    /** Adds credits granted by [session]. They are returned at once if its zone or target is out of service. */
     fun grant(
         session: AgentSession,
         slots: Int,
         connections: Int,
     ) {
         val target = session.target ?: return
-        if (!session.takesWork) return
-        val lanes = services.lanes(target.service)
-        if (slots > 0) lanes.tasks.pool.grant(target.target, session.zone, slots)
-        if (connections > 0) lanes.requests.pool.grant(target.target, session.zone, connections)
-        if (lease.isInService(session.zone, target.target)) run(target.service) else giveBack(session)
+        if (!session.acceptsWork) return
+        val queues = services.queues(target.service)
+        if (slots > 0) queues.tasks.pool.grant(target.target, session.zone, slots)
+        if (connections > 0) queues.requests.pool.grant(target.target, session.zone, connections)
+        if (lease.isInService(session.zone, target.target)) placeTasks(target.service) else returnCredits(session)
     }
 
-    /** Returns unspent credits of [session], at most as many as asked for. */
-    fun giveBack(
+    /** Returns unspent credits to [session], at most [slots] and [connections]. */
+    fun returnCredits(
         session: AgentSession,
         slots: Int = Int.MAX_VALUE,
         connections: Int = Int.MAX_VALUE,
     ) {
         val target = session.target ?: return
-        val lanes = services.known(target.service) ?: return
-        val slotsBack = lanes.tasks.pool.withdraw(target.target, slots)
-        val connectionsBack = lanes.requests.pool.withdraw(target.target, connections)
-        if (slotsBack + connectionsBack == 0) return
-        counters.waste(Waste.RETURNED_CREDIT, slotsBack + connectionsBack)
-        session.outbox.giveBack(slotsBack, connectionsBack)
-        agents.wake(session)
+        val queues = services.existingQueues(target.service) ?: return
+        val returnedSlots = queues.tasks.pool.withdraw(target.target, slots)
+        val returnedConnections = queues.requests.pool.withdraw(target.target, connections)
+        if (returnedSlots + returnedConnections == 0) return
+        counters.countWasted(WastedMessage.RETURNED_CREDIT, returnedSlots + returnedConnections)
+        session.outbox.returnCredits(returnedSlots, returnedConnections)
+        agents.requestFlush(session)
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/EntryCore.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/EntryCore.kt
@@ -12,139 +12,148 @@
 import kotlin.time.Duration
 
 /**
- * The decisions of an entry as a state machine without I/O.
+ * The logic of an entry as a state machine without I/O.
  *
- * Give it the time and its inputs from one thread at a time and carry out what [take] returns after each.
+ * Call it from one thread at a time with the current time, and carry out the actions that [takeActions] returns after each call.
  */
 internal class EntryCore(
     private val identity: EntryIdentity,
-    queuedTasks: Int,
-    policies: PlacementPolicies = DefaultPolicies,
+    maxQueuedTasks: Int,
+    policies: PlacementPolicies = DefaultPlacementPolicies,
     budget: MemoryBudget = MemoryBudget(),
 ) {
-    private val sink = ActionSink()
+    private val actions = ActionBuffer()
     private val agents: AgentDirectory
     private val dispatcher: Dispatcher
     private val tracker: AttemptTracker
     private val services: ServiceTable
     private val table: SubmissionTable
-    private val registry: SubmissionRegistry
-    private var wasLive = false
+    private val lifecycle: SubmissionLifecycle
+    private var hadLiveLease = false
 
-    /** What was counted. */
-    val counters = Counters()
+    /** Counters of events for metrics. */
+    val counters = EntryCounters()
 
     /** The lease and the configuration. */
-    val lease = LeaseKeeper(identity.site)
+    val lease = LeaseState(identity.site)
 
     init {
-        agents = AgentDirectory(identity, lease, sink)
-        val teams = TeamLedger(lease)
+        agents = AgentDirectory(identity, lease, actions)
+        val teams = TeamUsage(lease)
         services = ServiceTable(lease, agents, teams, policies)
-        dispatcher = Dispatcher(lease, agents, services, teams, counters, sink)
+        dispatcher = Dispatcher(lease, agents, services, teams, counters, actions)
         tracker = AttemptTracker(dispatcher, services, teams, counters)
-        table = SubmissionTable(counters, sink, budget)
-        registry = SubmissionRegistry(table, lease, dispatcher, Admission(lease, services, teams, queuedTasks), counters, sink, budget)
+        table = SubmissionTable(counters, actions, budget)
+        lifecycle =
+            SubmissionLifecycle(
+                table,
+                lease,
+                dispatcher,
+                AdmissionControl(lease, services, teams, maxQueuedTasks),
+                counters,
+                actions,
+                budget,
+            )
         agents.listener = tracker
         agents.demand = services::demand
-        tracker.listener = registry
+        tracker.listener = lifecycle
     }
 
-    /** True if no submission is without its answer. */
+    /** True if every submission has its answer. */
     val isIdle get() = table.size == 0
 
-    /** Submissions without an answer. */
+    /** Number of submissions without an answer. */
     val openSubmissions get() = table.size
 
-    /** Tasks and requests that wait. */
+    /** Number of waiting tasks and requests. */
     val waiting get() = services.waiting
 
-    /** Agents that are connected. */
+    /** Number of connected agents. */
     val connectedAgents get() = agents.connected.size
 
     /** The other live entries. */
     val otherEntries get() = lease.peers.filter { it.incarnation != identity.incarnation }
 
     /** Returns the actions since the last call. */
-    fun take(): List<Action> = sink.take()
+    fun takeActions(): List<Action> = actions.takeAll()
 
     /** Refuses new submissions from now on. */
-    fun leave() {
-        registry.isLeaving = true
+    fun refuseNewSubmissions() {
+        lifecycle.isShuttingDown = true
     }
 
-    /** Returns why [new] can't be taken with the configuration of now, or null. */
-    fun limits(
-        new: NewSubmission,
+    /** Returns why [spec] can't be accepted with the current configuration, or null. */
+    fun checkLimits(
+        spec: SubmissionSpec,
         now: Duration,
     ): ErrorBody? {
         advance(now)
-        return registry.limits(new)
+        return lifecycle.checkLimits(spec)
     }
 
-    /** Takes a submission. Returns a reply at once, or null if it follows as [Action.Deliver]. */
+    /** Accepts a submission. Returns the reply, or null if it will follow as [Action.Deliver]. */
     fun submit(
-        new: NewSubmission,
+        spec: SubmissionSpec,
         now: Duration,
     ): Reply? {
         advance(now)
-        return registry.submit(new)
+        return lifecycle.submit(spec)
     }
 
-    /** Tells what is known of [id]. */
-    fun lookup(id: SubmissionId): Lookup = table.lookup(id)
+    /** Returns what this entry knows about [id]. */
+    fun lookup(id: SubmissionId): LookupResult = table.lookup(id)
 
-    /** Tells how far [id] is if this entry owns it, or null. */
+    /** Returns the progress of [id] if this entry owns it, else null. */
     fun progress(id: SubmissionId): PendingBody? {
         val submission = table[id]?.takeIf { it.phase == SubmissionPhase.OPEN || it.phase == SubmissionPhase.CLOSING } ?: return null
         return PendingBody(submission = id, tasks = submission.size, tasksDone = submission.doneTasks)
     }
 
-    /** Notes that a caller has the whole answer to [id]. */
-    fun fetched(id: SubmissionId) = table.fetched(id)
+    /** Records that a caller has received the full answer to [id]. */
+    fun markFetched(id: SubmissionId) = table.markFetched(id)
 
-    /** Returns the final answers that no caller has fetched. */
-    fun unfetched(): List<KeptAnswer> = table.unfetched()
+    /** Returns the final answers that no caller has received. */
+    fun unfetchedAnswers(): List<KeptAnswer> = table.unfetchedAnswers()
 
-    /** Takes final answers from an entry that ends. */
-    fun adopt(
+    /** Imports the final answers of an entry that shuts down. */
+    fun importAnswers(
         answers: List<KeptAnswer>,
         now: Duration,
     ) {
         advance(now)
-        answers.forEach(table::adopt)
+        answers.forEach(table::importAnswer)
     }
 
-    /** Gives up a claim on [id] unless this entry knows the id. */
-    fun releaseUnknown(id: SubmissionId) = registry.releaseUnknown(id)
+    /** Releases a claim on [id] unless this entry knows the id. */
+    fun releaseUnknown(id: SubmissionId) = lifecycle.releaseUnknown(id)
 
-    /** Cancels [id]. Returns false if it is not known. */
+    /** Cancels [id]. Returns false if the id is unknown. */
     fun cancel(
         id: SubmissionId,
         now: Duration,
     ): Boolean {
         advance(now)
-        return registry.cancel(id)
+        return lifecycle.cancel(id)
     }
 
-    /** Takes the verdict on a claim. */
-    fun claimed(
+    /** Processes the result of [Action.Claim]. */
+    fun onClaimResult(
         id: SubmissionId,
         result: ClaimResult,
         now: Duration,
     ) {
         advance(now)
-        registry.ownership.claimed(id, result)
+        lifecycle.ownership.onClaimResult(id, result)
     }
 
-    /** Takes what the owner said. */
-    fun followed(
+    /** Processes the reply to [Action.QueryOwner]. */
+    fun onOwnerReply(
         id: SubmissionId,
-        result: FollowResult,
+        result: OwnerReply,
         now: Duration,
     ) {
         advance(now)
-        registry.ownership.followed(id, result)
+        lifecycle.ownership.onOwnerReply(id, result)
     }
 
     /** Returns the next lease request. */
@@ -165,8 +174,8 @@
         leaving = leaving,
     )
 
-    /** Takes a lease for which the request was sent at [sent]. */
-    fun renewed(
+    /** Processes a lease response to the request that was sent at [sent]. */
+    fun onLeaseResponse(
         response: LeaseResponse,
         sent: Duration,
         now: Duration,
@@ -175,15 +184,15 @@
         val before = lease.revision
         if (!lease.renew(response, sent)) return
         if (lease.revision > before) agents.renewPermits()
-        wasLive = lease.isLive(now)
-        agents.connected.filter { !lease.isInService(it.zone, it.target?.target) }.forEach { dispatcher.giveBack(it) }
+        hadLiveLease = lease.isLive(now)
+        agents.connected.filter { !lease.isInService(it.zone, it.target?.target) }.forEach { dispatcher.returnCredits(it) }
         services.refreshSlots()
-        registry.tick()
-        dispatcher.runAll()
+        lifecycle.tick()
+        dispatcher.placeAllTasks()
     }
 
-    /** Takes a frame of an agent. */
-    fun frame(
+    /** Processes a frame from an agent. */
+    fun onFrame(
         link: LinkId,
         frame: AgentFrame,
         now: Duration,
@@ -194,18 +203,18 @@
         frame.target?.let { replaceTarget(session, it) }
         frame.permitRequest?.let {
             agents.acknowledge(session, it.revision)
-            session.lastRequest = it
+            session.lastPermitRequest = it
             session.outbox.permitRequest = it
-            agents.wake(session)
+            agents.requestFlush(session)
         }
-        frame.outcomes.forEach { tracker.outcome(session, it) }
+        frame.outcomes.forEach { tracker.onOutcome(session, it) }
         if (frame.leaving) {
             session.isLeaving = true
-            dispatcher.giveBack(session)
+            dispatcher.returnCredits(session)
         }
-        frame.recalled?.let { dispatcher.giveBack(session, it.slots, it.connections) }
+        frame.recalled?.let { dispatcher.returnCredits(session, it.slots, it.connections) }
         frame.credits?.let { dispatcher.grant(session, it.slots, it.connections) }
-        session.service?.let(dispatcher::run)
+        session.service?.let(dispatcher::placeTasks)
     }
 
     private fun replaceTarget(
@@ -215,45 +224,45 @@
         if (session.target?.target != target.target || !target.present) dispatcher.dropCredits(session)
         session.target = target
         services.refreshSlots()
-        agents.wake(session)
+        agents.requestFlush(session)
     }
 
-    /** Notes that a connection is gone. */
-    fun closed(
+    /** Processes the end of an agent's connection. */
+    fun onDisconnected(
         link: LinkId,
         now: Duration,
     ) {
         advance(now)
         agents.detach(link, now)
         services.refreshSlots()
-        dispatcher.runAll()
+        dispatcher.placeAllTasks()
     }
 
-    /** Returns what must be sent on [link] as one frame, or null. */
-    fun drain(
+    /** Returns everything pending for [link] as one frame, or null if nothing is pending. */
+    fun takeFrame(
         link: LinkId,
         now: Duration,
     ): EntryFrame? {
         advance(now)
-        return agents.drain(link, now)
+        return agents.takeFrame(link, now)
     }
 
-    /** Does what is due by time. Call it every few tens of milliseconds. */
+    /** Runs time-based work. Must be called every few tens of milliseconds at the latest. */
     fun tick(now: Duration) {
         advance(now)
         agents.expire(now)
-        registry.tick()
-        table.forgetOld()
-        dispatcher.runAll()
-        agents.wakeForNews()
+        lifecycle.tick()
+        table.expireAnswers()
+        dispatcher.placeAllTasks()
+        agents.flushOutdatedLinks()
     }
 
     private fun advance(now: Duration) {
         services.now = now
-        if (wasLive && !lease.isLive(now)) {
-            wasLive = false
-            registry.ownership.leaseLapsed()
+        if (hadLiveLease && !lease.isLive(now)) {
+            hadLiveLease = false
+            lifecycle.ownership.onLeaseExpired()
         }
-        registry.advance(now)
+        lifecycle.advance(now)
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Counters.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/EntryCounters.kt
@@ -5,8 +5,8 @@
 import io.bluebellramp.messages.TaskStatus
 import java.util.EnumMap
 
-/** A message that served no purpose. */
-internal enum class Waste {
+/** Kinds of messages that cost work without effect. The names are metric labels. */
+internal enum class WastedMessage {
     REFUSAL,
     RETRY,
     DUPLICATE_ANSWER,
@@ -14,49 +14,49 @@
     RETURNED_CREDIT,
 }
 
-/** What came of a claim. */
-internal enum class Verdict {
+/** Results of claims. The names are metric labels. */
+internal enum class ClaimVerdictKind {
     GRANTED,
     HELD,
     UNAVAILABLE,
 }
 
-/** Counts what the core did. The shell publishes it as metrics. */
-internal class Counters {
+/** Event counters of [EntryCore], published by [EntryMetrics]. */
+internal class EntryCounters {
     var dispatched = 0L
-    val wasted = EnumMap<Waste, Long>(Waste::class.java)
+    val wasted = EnumMap<WastedMessage, Long>(WastedMessage::class.java)
     val outcomes = EnumMap<TaskStatus, Long>(TaskStatus::class.java)
     val answers = EnumMap<AnswerOutcome, Long>(AnswerOutcome::class.java)
     val refusals = EnumMap<ErrorCode, Long>(ErrorCode::class.java)
 
-    val claims = EnumMap<Verdict, Long>(Verdict::class.java)
+    val claims = EnumMap<ClaimVerdictKind, Long>(ClaimVerdictKind::class.java)
 
-    fun claim(result: ClaimResult) {
+    fun countClaim(result: ClaimResult) {
         val verdict =
             when (result) {
-                ClaimResult.Granted -> Verdict.GRANTED
-                is ClaimResult.Held -> Verdict.HELD
-                is ClaimResult.Split, ClaimResult.Unavailable -> Verdict.UNAVAILABLE
+                ClaimResult.Granted -> ClaimVerdictKind.GRANTED
+                is ClaimResult.Held -> ClaimVerdictKind.HELD
+                is ClaimResult.Split, ClaimResult.Unavailable -> ClaimVerdictKind.UNAVAILABLE
             }
         claims.merge(verdict, 1L, Long::plus)
     }
 
-    fun waste(
-        kind: Waste,
+    fun countWasted(
+        kind: WastedMessage,
         count: Int = 1,
     ) {
         wasted.merge(kind, count.toLong(), Long::plus)
     }
 
-    fun outcome(status: TaskStatus) {
+    fun countOutcome(status: TaskStatus) {
         outcomes.merge(status, 1L, Long::plus)
     }
 
-    fun answer(outcome: AnswerOutcome) {
+    fun countAnswer(outcome: AnswerOutcome) {
         answers.merge(outcome, 1L, Long::plus)
     }
 
-    fun refusal(code: ErrorCode) {
+    fun countRefusal(code: ErrorCode) {
         refusals.merge(code, 1L, Long::plus)
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/EntryIdentity.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/EntryIdentity.kt
@@ -7,7 +7,7 @@
 import io.bluebellramp.core.ZoneId
 import io.bluebellramp.messages.ClaimHolder
 
-/** Who this entry is. */
+/** The identity of this entry process. */
 internal data class EntryIdentity(
     val entry: EntryId,
     val incarnation: IncarnationId,
@@ -15,6 +15,6 @@
     val site: SiteId,
     val zone: ZoneId,
 ) {
-    /** This entry as the holder of a claim. */
+    /** The form in which this entry appears as the holder of a claim. */
     val holder get() = ClaimHolder(entry = entry, incarnation = incarnation, address = address)
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/EntryMetrics.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/EntryMetrics.kt
@@ -8,13 +8,13 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Publishes what the core counted. [publish] runs in the core's coroutine. */
+/** Publishes the state and counters of [core] as metrics. [publish] runs in the core's coroutine. */
 internal class EntryMetrics(
     private val core: EntryCore,
     private val clock: Clock,
     registry: PrometheusRegistry,
     private val budget: MemoryBudget,
-) : Traffic {
+) : FrameMetrics {
     @Volatile
     private var liveUntil: Duration = Duration.ZERO
     private val published = HashMap<String, Long>()
@@ -26,29 +26,29 @@
     private val claims = registry.counter("bluebellramp_entry_claims_total", "Claims by verdict", "verdict")
     private val frames = registry.counter("bluebellramp_entry_frames_total", "Frames to and from agents", "direction")
     private val characters = registry.counter("bluebellramp_entry_frame_characters_total", "Characters in frames", "direction")
-    private val queued = registry.gauge("bluebellramp_entry_queued_tasks", "Tasks and requests that wait")
-    private val open = registry.gauge("bluebellramp_entry_open_submissions", "Submissions without an answer")
-    private val held = registry.gauge("bluebellramp_entry_held_bytes", "Estimated memory of calls, open submissions, log lines and ids")
-    private val linked = registry.gauge("bluebellramp_entry_linked_agents", "Agents that are connected")
+    private val queuedTasks = registry.gauge("bluebellramp_entry_queued_tasks", "Tasks and requests that wait")
+    private val openSubmissions = registry.gauge("bluebellramp_entry_open_submissions", "Submissions without an answer")
+    private val reserved = registry.gauge("bluebellramp_entry_held_bytes", "Estimated memory of calls, open submissions, log lines and ids")
+    private val linkedAgents = registry.gauge("bluebellramp_entry_linked_agents", "Agents that are connected")
     private val revision = registry.gauge("bluebellramp_entry_revision", "Revision of the lease")
-    private val leaseLeft = registry.gauge("bluebellramp_entry_lease_remaining_seconds", "Time until the lease runs out")
+    private val leaseRemaining = registry.gauge("bluebellramp_entry_lease_remaining_seconds", "Time until the lease runs out")
 
-    /** True while the lease lasts, as of the last [publish]. */
+    /** True while the lease is valid, as of the last [publish]. */
     fun isLeaseLive() = clock.monotonic() < liveUntil
 
-    /** Copies the figures of the core. */
+    /** Copies the current values of the core to the metrics. */
     fun publish(now: Duration) {
-        val left = core.lease.remaining(now)
-        liveUntil = if (core.lease.isLive(now)) now + left else Duration.ZERO
-        leaseLeft.set(maxOf(0.0, left.toDouble(DurationUnit.SECONDS)))
+        val remaining = core.lease.remaining(now)
+        liveUntil = if (core.lease.isLive(now)) now + remaining else Duration.ZERO
+        leaseRemaining.set(maxOf(0.0, remaining.toDouble(DurationUnit.SECONDS)))
         revision.set(
             core.lease.revision.value
                 .toDouble(),
         )
-        queued.set(core.waiting.toDouble())
-        open.set(core.openSubmissions.toDouble())
-        held.set(budget.used.toDouble())
-        linked.set(core.connectedAgents.toDouble())
+        queuedTasks.set(core.waiting.toDouble())
+        openSubmissions.set(core.openSubmissions.toDouble())
+        reserved.set(budget.usedBytes.toDouble())
+        linkedAgents.set(core.connectedAgents.toDouble())
         val counters = core.counters
         add(dispatched, "dispatched", null, counters.dispatched)
         counters.wasted.forEach { (kind, count) -> add(wasted, "wasted", kind.name, count) }
@@ -58,25 +58,25 @@
         counters.claims.forEach { (verdict, count) -> add(claims, "claim", verdict.name, count) }
     }
 
-    override fun received(length: Int) = count("in", length)
+    override fun recordReceived(characterCount: Int) = count("in", characterCount)
 
-    override fun sent(length: Int) = count("out", length)
+    override fun recordSent(characterCount: Int) = count("out", characterCount)
 
     private fun count(
         direction: String,
-        length: Int,
+        characterCount: Int,
     ) {
         frames.labelValues(direction).inc()
-        characters.labelValues(direction).inc(length.toLong())
+        characters.labelValues(direction).inc(characterCount.toLong())
     }
 
     private fun add(
         counter: Counter,
-        family: String,
+        metric: String,
         label: String?,
         total: Long,
     ) {
-        val before = published.put("$family $label", total) ?: 0L
+        val before = published.put("$metric $label", total) ?: 0L
         if (total == before) return
         if (label == null) counter.inc(total - before) else counter.labelValues(label.lowercase()).inc(total - before)
     }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/EntryProgram.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/EntryProgram.kt
@@ -23,15 +23,15 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** An entry process: the callers' API, claims, leases and links to agents around one [EntryCore]. */
+/** An entry process: the API for callers, claims, leases and connections to agents around one [EntryCore]. */
 internal class EntryProgram(
     private val settings: EntrySettings,
     private val clock: Clock = SystemClock,
     registry: PrometheusRegistry = PrometheusRegistry(),
-    policies: PlacementPolicies = DefaultPolicies,
+    policies: PlacementPolicies = DefaultPlacementPolicies,
     budget: MemoryBudget = MemoryBudget(),
 ) : RunningProgram,
-    EntryLinks,
+    ActionHandler,
     Health {
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val key = SharedKey.read(settings.keyFile, settings.listen.host)
@@ -45,94 +45,94 @@
             zone = settings.zone,
         )
     private val core = EntryCore(identity, settings.queuedTasks, policies, budget)
-    private val shell = EntryShell(core, clock, scope)
+    private val runner = EntryCoreRunner(core, clock, scope)
     private val metrics = EntryMetrics(core, clock, registry, budget)
-    private val agents = AgentEndpoint(shell, metrics, scope)
-    private val claims = ClaimsClient(http, identity, clock, shell)
-    private val peers = PeerClient(http, shell, scope)
-    private val leases = LeaseClient(http, settings.controls, clock, shell)
+    private val agents = AgentEndpoint(runner, metrics, scope)
+    private val claims = ClaimClient(http, identity, clock, runner)
+    private val peers = PeerClient(http, runner, scope)
+    private val leases = LeaseClient(http, settings.controls, clock, runner)
     private val decisions = DecisionLog(settings.entry, budget)
     private val callers =
         CallerApi(
-            shell = shell,
+            runner = runner,
             peers = peers,
-            reader = SubmissionReader(clock),
+            parser = SubmissionParser(clock),
             metrics = CallMetrics(clock, registry),
             bodyBytes = settings.bodyBytes,
             budget = budget,
-            isLeaving = { isLeaving },
+            isShuttingDown = { isShuttingDown },
         )
     private val server =
         httpServer(settings.listen, this, registry, key) {
             with(callers) { calls() }
-            with(PeerApi(shell, identity)) { peers() }
+            with(PeerApi(runner, identity)) { peers() }
             with(agents) { agents() }
         }
-    private var leasing: Job? = null
-    private var logging: Job? = null
+    private var leaseJob: Job? = null
+    private var logJob: Job? = null
 
     @Volatile
-    private var isLeaving = false
+    private var isShuttingDown = false
 
-    /** Starts to listen and to ask for a lease. */
+    /** Starts to listen and to request a lease. */
     fun start(): EntryProgram {
-        shell.links = this
+        runner.handler = this
         scope.launch { claims.run() }
         scope.launch { claims.runRetries() }
-        logging = scope.launch { decisions.run() }
-        shell.start(metrics::publish)
+        logJob = scope.launch { decisions.run() }
+        runner.start(metrics::publish)
         server.start(wait = false)
-        leasing = scope.launch { leases.run() }
+        leaseJob = scope.launch { leases.run() }
         return this
     }
 
-    override fun isReady() = !isLeaving && metrics.isLeaseLive()
+    override fun isReady() = !isShuttingDown && metrics.isLeaseLive()
 
     override fun stop() =
         runBlocking {
-            isLeaving = true
+            isShuttingDown = true
             delay(settings.drainMillis.milliseconds)
-            shell.use { leave() }
-            answerAll()
-            withTimeoutOrNull(STOP_TIMEOUT) { peers.handOver() }
-            leasing?.cancel()
-            leases.leave()
-            server.stop(gracePeriodMillis = LAST_RESPONSES.inWholeMilliseconds, timeoutMillis = STOP_TIMEOUT.inWholeMilliseconds)
-            writeLog()
+            runner.withCore { refuseNewSubmissions() }
+            awaitAnswers()
+            withTimeoutOrNull(STOP_TIMEOUT) { peers.handOverAnswers() }
+            leaseJob?.cancel()
+            leases.announceLeaving()
+            server.stop(gracePeriodMillis = RESPONSE_FLUSH_TIME.inWholeMilliseconds, timeoutMillis = STOP_TIMEOUT.inWholeMilliseconds)
+            closeLog()
             scope.cancel()
             http.close()
         }
 
-    /** Waits until every submission has its answer and every caller its response. */
-    private suspend fun answerAll() {
-        while (!shell.use { isIdle }) delay(IDLE_POLL)
-        withTimeoutOrNull(STOP_TIMEOUT) { while (!callers.isIdle) delay(IDLE_POLL) }
-        delay(LAST_RESPONSES)
+    /** Waits until every submission has its answer and every caller has its response. */
+    private suspend fun awaitAnswers() {
+        while (!runner.withCore { isIdle }) delay(IDLE_POLL_INTERVAL)
+        withTimeoutOrNull(STOP_TIMEOUT) { while (!callers.isIdle) delay(IDLE_POLL_INTERVAL) }
+        delay(RESPONSE_FLUSH_TIME)
     }
 
-    /** Writes the log lines that wait. */
-    private suspend fun writeLog() {
+    /** Closes the decision log and waits until the queued lines are written. */
+    private suspend fun closeLog() {
         decisions.close()
-        withTimeoutOrNull(STOP_TIMEOUT) { logging?.join() }
+        withTimeoutOrNull(STOP_TIMEOUT) { logJob?.join() }
     }
 
-    override fun claim(claim: Action.Claim) = claims.ask(claim)
+    override fun claim(claim: Action.Claim) = claims.enqueueClaim(claim)
 
-    override fun release(submission: SubmissionId) = claims.release(submission)
+    override fun release(submission: SubmissionId) = claims.enqueueRelease(submission)
 
-    override fun follow(follow: Action.Follow) = peers.follow(follow)
+    override fun queryOwner(query: Action.QueryOwner) = peers.queryOwner(query)
 
     override fun cancelAtOwner(cancel: Action.CancelAtOwner) = peers.cancel(cancel)
 
-    override fun wake(link: LinkId) = agents.wake(link)
+    override fun flush(link: LinkId) = agents.flush(link)
 
     override fun close(link: LinkId) = agents.close(link)
 
     override fun log(decision: Action) = decisions.add(decision)
 
     private companion object {
-        val IDLE_POLL = 20.milliseconds
-        val LAST_RESPONSES = 200.milliseconds
+        val IDLE_POLL_INTERVAL = 20.milliseconds
+        val RESPONSE_FLUSH_TIME = 200.milliseconds
         val STOP_TIMEOUT = 5.seconds
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/LeaseClient.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/LeaseClient.kt
@@ -18,14 +18,14 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Keeps the lease of the entry: finds the leader and asks it about three times a second. */
+/** Renews the lease of this entry: finds the leader and sends it a long-poll request about three times a second. */
 internal class LeaseClient(
     private val http: HttpClient,
     private val controls: List<Address>,
     private val clock: Clock,
-    private val shell: EntryShell,
+    private val runner: EntryCoreRunner,
 ) {
-    private class Granted(
+    private class LeaseGrant(
         val from: Address,
         val response: LeaseResponse,
         val sent: Duration,
@@ -33,31 +33,31 @@
 
     private var leader: Address? = null
 
-    /** Renews the lease until it is cancelled. */
+    /** Renews the lease until cancelled. */
     suspend fun run() {
         while (true) {
-            val grant = leader?.let { ask(it, HOLD_MILLIS) } ?: search()
+            val grant = leader?.let { requestLease(it, LONG_POLL_MILLIS) } ?: findLeader()
             leader = grant?.from
-            if (grant == null) delay(RETRY) else accept(grant)
+            if (grant == null) delay(RETRY_DELAY) else accept(grant)
         }
     }
 
-    /** Tells the leader that this entry passes on no more permits and ends. */
-    suspend fun leave() {
-        leader?.let { send(it, shell.useFirst { now -> leaseRequest(waitMillis = 0, leaving = true, now = now) }) }
+    /** Tells the leader that this entry issues no more permits and shuts down. */
+    suspend fun announceLeaving() {
+        leader?.let { send(it, runner.withCoreFirst { now -> leaseRequest(waitMillis = 0, leaving = true, now = now) }) }
     }
 
-    private suspend fun accept(grant: Granted) {
+    private suspend fun accept(grant: LeaseGrant) {
         val started = clock.monotonic()
-        shell.useFirst { now -> renewed(grant.response, grant.sent, now) }
-        if (started - grant.sent < SHORTEST_ROUND) delay(SHORTEST_ROUND)
+        runner.withCoreFirst { now -> onLeaseResponse(grant.response, grant.sent, now) }
+        if (started - grant.sent < MIN_RENEWAL_INTERVAL) delay(MIN_RENEWAL_INTERVAL)
     }
 
-    /** Asks every control process at once and returns the first grant. */
-    private suspend fun search(): Granted? =
+    /** Sends a lease request to every control process at once and returns the first grant, or null. */
+    private suspend fun findLeader(): LeaseGrant? =
         coroutineScope {
-            val calls = controls.map { async { ask(it, holdMillis = 0) } }.toMutableList()
-            var found: Granted? = null
+            val calls = controls.map { async { requestLease(it, longPollMillis = 0) } }.toMutableList()
+            var found: LeaseGrant? = null
             while (found == null && calls.isNotEmpty()) {
                 found =
                     select {
@@ -73,21 +73,21 @@
             found
         }
 
-    private suspend fun ask(
+    private suspend fun requestLease(
         control: Address,
-        holdMillis: Long,
-    ): Granted? {
+        longPollMillis: Long,
+    ): LeaseGrant? {
         val sent = clock.monotonic()
-        val request = shell.useFirst { now -> leaseRequest(waitMillis = holdMillis, leaving = false, now = now) }
+        val request = runner.withCoreFirst { now -> leaseRequest(waitMillis = longPollMillis, leaving = false, now = now) }
         val response = send(control, request) ?: return null
-        return if (response.granted) Granted(from = control, response = response, sent = sent) else null
+        return if (response.granted) LeaseGrant(from = control, response = response, sent = sent) else null
     }
 
     private suspend fun send(
         control: Address,
         request: LeaseRequest,
     ): LeaseResponse? =
-        boundedCall(CALL_TIMEOUT + request.waitMillis.milliseconds) {
+        callOrNull(CALL_TIMEOUT + request.waitMillis.milliseconds) {
             val response =
                 http.post("http://$control/leases") {
                     contentType(ContentType.Application.Json)
@@ -97,9 +97,9 @@
         }
 
     private companion object {
-        const val HOLD_MILLIS = 300L
+        const val LONG_POLL_MILLIS = 300L
         val CALL_TIMEOUT = 300.milliseconds
-        val RETRY = 50.milliseconds
-        val SHORTEST_ROUND = 10.milliseconds
+        val RETRY_DELAY = 50.milliseconds
+        val MIN_RENEWAL_INTERVAL = 10.milliseconds
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/LeaseKeeper.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/LeaseState.kt
@@ -20,20 +20,20 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Keeps the lease of this entry and what came with it: configuration, live entries and voting members. No I/O.
+ * The lease of this entry and the data that came with it: configuration, live entries and voting members. No I/O.
  *
- * A lease lasts from the moment its request was sent. The revision never falls.
+ * The duration of a lease counts from the time when its request was sent. The revision never decreases.
  */
-internal class LeaseKeeper(
+internal class LeaseState(
     private val site: SiteId,
 ) {
-    private var expires: Duration? = null
+    private var expiresAt: Duration? = null
     private var configuration: Configuration? = null
     private var zonesOut = emptySet<ZoneId>()
     private var targetsOut = emptySet<TargetId>()
     private val absentSince = HashMap<IncarnationId, Duration>()
 
-    /** The highest revision seen. */
+    /** The highest configuration revision seen. */
     var revision = Revision.ZERO
         private set
 
@@ -45,30 +45,30 @@
     var members: ClaimMembers? = null
         private set
 
-    /** True while the lease lasts and a configuration is known. */
+    /** True while the lease is valid and a configuration is known. */
     fun isLive(now: Duration): Boolean = configuration != null && remaining(now) > Duration.ZERO
 
-    /** Time until the lease runs out. */
-    fun remaining(now: Duration): Duration = (expires ?: now) - now
+    /** Time until the lease expires. */
+    fun remaining(now: Duration): Duration = (expiresAt ?: now) - now
 
-    /** Takes a lease for which the request was sent at [sent]. Returns false if it is not a grant or its revision is old. */
+    /** Applies a response to the request that was sent at [sent]. Returns false if it grants no lease or its revision is outdated. */
     fun renew(
         response: LeaseResponse,
         sent: Duration,
     ): Boolean {
         val granted = response.revision ?: return false
         if (!response.granted || granted < revision) return false
-        if (!adopt(response)) return false
+        if (!applyConfiguration(response)) return false
         revision = granted
         val end = sent + response.lifeMillis.milliseconds
-        expires = maxOf(expires ?: end, end)
+        expiresAt = maxOf(expiresAt ?: end, end)
         peers = response.entries
         response.members?.let { if (it.version >= (members?.version ?: 0)) members = it }
         peers.forEach { absentSince.remove(it.incarnation) }
         return true
     }
 
-    private fun adopt(response: LeaseResponse): Boolean {
+    private fun applyConfiguration(response: LeaseResponse): Boolean {
         val view = response.configuration ?: return configuration != null && response.revision == revision
         if (view.revision < revision) return false
         val overlay = view.overlays[site.value]
@@ -84,13 +84,13 @@
         return true
     }
 
-    /** The effective settings of [service], or null if there is none. */
+    /** The settings of [service] with the overlay of this site, or null if there is no such service. */
     fun service(service: ServiceId): Service? = configuration?.services?.get(service.value)
 
     /** The quota of [team], or null if it has none. */
     fun team(team: TeamId): Team? = configuration?.teams?.get(team.value)
 
-    /** Entries over which a quota is split. */
+    /** Number of entries over which a quota is split. */
     val liveEntries: Int get() = maxOf(1, peers.size)
 
     /** True unless the zone or the target is out of service. */
@@ -99,8 +99,8 @@
         target: TargetId?,
     ): Boolean = zone !in zonesOut && (target == null || target !in targetsOut)
 
-    /** How long [incarnation] has been missing from the live entries, as far as this entry knows. */
-    fun absent(
+    /** Returns how long [incarnation] has been missing from the live entries, as observed by this entry. */
+    fun absenceOf(
         incarnation: IncarnationId,
         now: Duration,
     ): Duration {
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Main.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Main.kt
@@ -6,7 +6,7 @@
 
 private const val NAME = "bluebellramp-entry"
 
-/** Starts an entry. */
+/** Starts an entry process. */
 fun main(args: Array<String>) =
     runServer(
         name = NAME,
--- a/entry/src/main/kotlin/io/bluebellramp/entry/MemoryBudget.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/MemoryBudget.kt
@@ -3,55 +3,55 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * Counts the memory that calls, open submissions, waiting log lines and remembered ids are estimated to hold. Safe for use by many threads.
+ * Counts the estimated memory of calls, open submissions, queued log lines and cached ids. Thread-safe.
  *
- * A new call is refused while there is no room for it. What was accepted is always counted, also beyond the bound, and goes on. So
- * load makes an entry refuse calls but never ends it.
+ * New calls are refused while the budget is used up. Accepted work continues and is always counted, even beyond the limit, so that overload
+ * makes an entry refuse calls but does not crash it.
  *
- * @property most the bound (bytes)
+ * @property maxBytes the limit (bytes)
  */
 internal class MemoryBudget(
-    val most: Long = heapShare(),
+    val maxBytes: Long = defaultMaxBytes(),
 ) {
-    private val held = AtomicLong()
+    private val reservedBytes = AtomicLong()
 
-    /** What is counted now (bytes). */
-    val used get() = held.get()
+    /** Memory that is currently reserved (bytes). */
+    val usedBytes get() = reservedBytes.get()
 
-    /** Counts [bytes] for a new call. Returns its share, or null if there is no room. A call that is alone always gets its share. */
-    fun admit(bytes: Long): Share? {
-        val before = held.getAndAdd(bytes)
-        if (before == 0L || before + bytes <= most) return Share(this, bytes)
-        give(bytes)
+    /** Reserves [bytes] for a new call, or returns null if the budget is used up. If nothing else is reserved, it always succeeds. */
+    fun tryReserve(bytes: Long): Reservation? {
+        val before = reservedBytes.getAndAdd(bytes)
+        if (before == 0L || before + bytes <= maxBytes) return Reservation(this, bytes)
+        release(bytes)
         return null
     }
 
-    /** Counts [bytes] more, or fewer if they are negative. */
-    fun take(bytes: Long) {
-        held.addAndGet(bytes)
+    /** Reserves [bytes], even beyond the limit. A negative value releases memory. */
+    fun reserve(bytes: Long) {
+        reservedBytes.addAndGet(bytes)
     }
 
-    /** Counts [bytes] no longer. */
-    fun give(bytes: Long) = take(-bytes)
+    /** Releases [bytes]. */
+    fun release(bytes: Long) = reserve(-bytes)
 
-    /** What one call or submission holds of [budget]. Use it from one thread at a time. */
-    class Share(
+    /** The memory that one call or submission has reserved from [budget]. Not thread-safe. */
+    class Reservation(
         private val budget: MemoryBudget,
         private var bytes: Long = 0,
     ) {
         private var isClosed = false
 
-        /** Sets what is counted to [bytes]. */
-        fun resize(bytes: Long) = take(bytes - this.bytes)
+        /** Changes the reserved size to [bytes]. */
+        fun resize(bytes: Long) = add(bytes - this.bytes)
 
-        /** Counts [more] bytes, unless it is closed. */
-        fun take(more: Long) {
+        /** Reserves [additionalBytes] more, unless this reservation is closed. */
+        fun add(additionalBytes: Long) {
             if (isClosed) return
-            bytes += more
-            budget.take(more)
+            bytes += additionalBytes
+            budget.reserve(additionalBytes)
         }
 
-        /** Counts nothing any more. */
+        /** Releases everything. Later changes have no effect. */
         fun close() {
             resize(0)
             isClosed = true
@@ -59,9 +59,9 @@
     }
 
     private companion object {
-        /** Share of the heap. The rest is for results that are kept, links to agents, connections and garbage. */
-        const val HEAP_SHARE = 0.4
+        /** Fraction of the heap. The rest is for cached results, connections to agents and callers, and garbage. */
+        const val HEAP_FRACTION = 0.4
 
-        fun heapShare() = (Runtime.getRuntime().maxMemory() * HEAP_SHARE).toLong()
+        fun defaultMaxBytes() = (Runtime.getRuntime().maxMemory() * HEAP_FRACTION).toLong()
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Outbox.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Outbox.kt
@@ -5,7 +5,7 @@
 import io.bluebellramp.messages.PermitRequest
 import io.bluebellramp.messages.TaskReference
 
-/** What waits to be sent to one agent. All of it goes into one frame. */
+/** Data pending for one agent. All of it is sent in the next frame. */
 internal class Outbox {
     val dispatches = LinkedHashSet<Attempt>()
     val cancels = ArrayList<TaskReference>()
@@ -21,8 +21,8 @@
 
     private val hasCredits get() = slots > 0 || connections > 0
 
-    /** Adds credits to give back. */
-    fun giveBack(
+    /** Adds credits to return. */
+    fun returnCredits(
         slots: Int,
         connections: Int,
     ) {
@@ -30,8 +30,8 @@
         this.connections += connections
     }
 
-    /** Takes the credits to give back, or null if there are none. */
-    fun takeCredits(): Credits? {
+    /** Removes and returns the credits to return to the agent, or null if there are none. */
+    fun takeReturnedCredits(): Credits? {
         if (!hasCredits) return null
         val credits = Credits(slots = slots, connections = connections)
         slots = 0
@@ -45,6 +45,6 @@
         inquiries.clear()
         hello = null
         permitRequest = null
-        takeCredits()
+        takeReturnedCredits()
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/PeerClient.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/PeerClient.kt
@@ -23,94 +23,94 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Asks other entries for the answers to submissions that they own. */
+/** Calls the [PeerApi] of other entries. */
 internal class PeerClient(
     private val http: HttpClient,
-    private val shell: EntryShell,
+    private val runner: EntryCoreRunner,
     private val scope: CoroutineScope,
 ) {
-    /** Asks the owner once; the result goes to the core. */
-    fun follow(follow: Action.Follow) {
+    /** Asks the owner once and passes the reply to [EntryCore.onOwnerReply]. */
+    fun queryOwner(query: Action.QueryOwner) {
         scope.launch {
-            val result = ask(follow)
-            if (result !is FollowResult.Answered) delay(RETRY)
-            shell.use { now -> followed(follow.submission, result, now) }
+            val result = askOwner(query)
+            if (result !is OwnerReply.Answered) delay(RETRY_DELAY)
+            runner.withCore { now -> onOwnerReply(query.submission, result, now) }
         }
     }
 
-    private suspend fun ask(follow: Action.Follow): FollowResult =
-        boundedCall(CALL_TIMEOUT) {
+    private suspend fun askOwner(query: Action.QueryOwner): OwnerReply =
+        callOrNull(CALL_TIMEOUT) {
             val response =
-                http.get(follow.owner.path(follow.submission.value) + "?incarnation=${follow.owner.incarnation}&wait=$WAIT_MILLIS")
+                http.get(query.owner.url(query.submission.value) + "?incarnation=${query.owner.incarnation}&wait=$LONG_POLL_MILLIS")
             when (response.status) {
-                HttpStatusCode.OK -> FollowResult.Answered(response.body<Answer>())
-                HttpStatusCode.NotFound -> FollowResult.NotOwner
-                else -> FollowResult.NoAnswer
+                HttpStatusCode.OK -> OwnerReply.Answered(response.body<Answer>())
+                HttpStatusCode.NotFound -> OwnerReply.NotOwner
+                else -> OwnerReply.NoAnswer
             }
-        } ?: FollowResult.NoAnswer
+        } ?: OwnerReply.NoAnswer
 
-    /** Passes a cancel on to the owner. */
+    /** Forwards a cancellation to the owner in the background. */
     fun cancel(cancel: Action.CancelAtOwner) {
-        scope.launch { boundedCall(CALL_TIMEOUT) { http.post(cancel.owner.path(cancel.submission.value) + "/cancel") } }
+        scope.launch { callOrNull(CALL_TIMEOUT) { http.post(cancel.owner.url(cancel.submission.value) + "/cancel") } }
     }
 
-    /** Cancels [id] at every live entry, and returns what came of it. */
-    suspend fun cancelEverywhere(id: SubmissionId): PeerSearch =
-        atEveryPeer { peer ->
-            when (http.post(peer.path(id) + "/cancel").status) {
-                HttpStatusCode.OK -> PeerSearch.Found
-                HttpStatusCode.NotFound -> PeerSearch.Unknown
-                else -> PeerSearch.Unclear
+    /** Cancels [id] at every other live entry. */
+    suspend fun cancelAtAllPeers(id: SubmissionId): PeerSearchResult =
+        queryAllPeers { peer ->
+            when (http.post(peer.url(id) + "/cancel").status) {
+                HttpStatusCode.OK -> PeerSearchResult.Found
+                HttpStatusCode.NotFound -> PeerSearchResult.Unknown
+                else -> PeerSearchResult.Uncertain
             }
         }
 
-    /** Asks every live entry for the answer to [id], for at most [wait]. */
-    suspend fun findEverywhere(
+    /** Asks every other live entry for the answer to [id], which each waits for up to [wait]. */
+    suspend fun findAtAllPeers(
         id: SubmissionId,
         wait: Duration,
-    ): PeerSearch =
-        atEveryPeer(CALL_TIMEOUT + wait) { peer ->
-            val response = http.get(peer.path(id) + "?incarnation=${peer.incarnation}&wait=${wait.inWholeMilliseconds}")
+    ): PeerSearchResult =
+        queryAllPeers(CALL_TIMEOUT + wait) { peer ->
+            val response = http.get(peer.url(id) + "?incarnation=${peer.incarnation}&wait=${wait.inWholeMilliseconds}")
             when (response.status) {
-                HttpStatusCode.OK -> PeerSearch.Answered(response.body<Answer>())
-                HttpStatusCode.Accepted -> PeerSearch.Pending(response.body<PendingBody>())
-                HttpStatusCode.NotFound -> PeerSearch.Unknown
-                else -> PeerSearch.Unclear
+                HttpStatusCode.OK -> PeerSearchResult.Answered(response.body<Answer>())
+                HttpStatusCode.Accepted -> PeerSearchResult.Pending(response.body<PendingBody>())
+                HttpStatusCode.NotFound -> PeerSearchResult.Unknown
+                else -> PeerSearchResult.Uncertain
             }
         }
 
-    /** Gives the answers that no caller has fetched to every live entry, so that a caller who asks there later gets them. */
-    suspend fun handOver() {
-        for (page in shell.use { unfetched() }.chunked(HANDOVER_PAGE)) {
-            atEveryPeer { peer ->
+    /** Sends the answers that no caller has received to every other live entry, so that callers can get them there after the shutdown. */
+    suspend fun handOverAnswers() {
+        for (page in runner.withCore { unfetchedAnswers() }.chunked(HANDOVER_PAGE_SIZE)) {
+            queryAllPeers { peer ->
                 http.post("http://${peer.address}/peers/answers") {
                     contentType(ContentType.Application.Json)
                     setBody(AnswerHandover(page))
                 }
-                PeerSearch.Found
+                PeerSearchResult.Found
             }
         }
     }
 
-    private suspend fun atEveryPeer(
-        time: Duration = CALL_TIMEOUT,
-        call: suspend (EntryPeer) -> PeerSearch,
-    ): PeerSearch {
-        val peers = shell.use { otherEntries }
-        val results = coroutineScope { peers.map { async { boundedCall(time) { call(it) } ?: PeerSearch.Unclear } }.awaitAll() }
-        return results.maxByOrNull { it.rank } ?: PeerSearch.Unknown
+    private suspend fun queryAllPeers(
+        timeout: Duration = CALL_TIMEOUT,
+        call: suspend (EntryPeer) -> PeerSearchResult,
+    ): PeerSearchResult {
+        val peers = runner.withCore { otherEntries }
+        val results = coroutineScope { peers.map { async { callOrNull(timeout) { call(it) } ?: PeerSearchResult.Uncertain } }.awaitAll() }
+        return results.maxByOrNull { it.rank } ?: PeerSearchResult.Unknown
     }
 
-    private fun ClaimHolder.path(submission: String) = "http://$address/peers/submissions/$submission"
+    private fun ClaimHolder.url(submission: String) = "http://$address/peers/submissions/$submission"
 
-    private fun EntryPeer.path(submission: SubmissionId) = "http://$address/peers/submissions/$submission"
+    private fun EntryPeer.url(submission: SubmissionId) = "http://$address/peers/submissions/$submission"
 
     private companion object {
-        const val WAIT_MILLIS = 1_000L
+        const val LONG_POLL_MILLIS = 1_000L
 
-        /** Answers in one message of a handover. */
-        const val HANDOVER_PAGE = 100
+        /** Answers in one handover message. */
+        const val HANDOVER_PAGE_SIZE = 100
         val CALL_TIMEOUT = 1_500.milliseconds
-        val RETRY = 50.milliseconds
+        val RETRY_DELAY = 50.milliseconds
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/PeerSearch.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/PeerSearchResult.kt
@@ -6,27 +6,27 @@
 /**
  * What the other entries know of a submission id.
  *
- * @property rank of several results the one with the greatest rank counts
+ * @property rank if the entries reply differently, the result with the highest rank counts
  */
-internal sealed class PeerSearch(
+internal sealed class PeerSearchResult(
     val rank: Int,
 ) {
     /** Each live entry says that it does not know the id. */
-    data object Unknown : PeerSearch(rank = 0)
+    data object Unknown : PeerSearchResult(rank = 0)
 
-    /** An entry did not answer, so it is not certain that none knows the id. */
-    data object Unclear : PeerSearch(rank = 1)
+    /** An entry did not answer, so it may know the id. */
+    data object Uncertain : PeerSearchResult(rank = 1)
 
     /** An entry knows the id. */
-    data object Found : PeerSearch(rank = 2)
+    data object Found : PeerSearchResult(rank = 2)
 
     /** Its owner has no answer yet. */
     data class Pending(
         val body: PendingBody,
-    ) : PeerSearch(rank = 3)
+    ) : PeerSearchResult(rank = 3)
 
     /** Its final answer. */
     data class Answered(
         val answer: Answer,
-    ) : PeerSearch(rank = 4)
+    ) : PeerSearchResult(rank = 4)
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/PlacementPolicies.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/PlacementPolicies.kt
@@ -6,20 +6,20 @@
 import io.bluebellramp.placement.RunTimeModel
 import io.bluebellramp.placement.TeamQuota
 
-/** Makes the queues and the credits of a service. Each service has one pair for tasks and one for requests. */
+/** Creates the job queue and the credit pool of each [DispatchQueue]. */
 internal interface PlacementPolicies {
-    /** Returns an empty queue. */
+    /** Creates an empty queue. */
     fun queue(
         model: RunTimeModel,
         quota: TeamQuota,
     ): JobQueue
 
-    /** Returns a pool without credits. */
+    /** Creates a pool without credits. */
     fun pool(model: RunTimeModel): CreditPool
 }
 
-/** The policies that [Placement] chose. */
-internal object DefaultPolicies : PlacementPolicies {
+/** The default policies of [Placement]. */
+internal object DefaultPlacementPolicies : PlacementPolicies {
     override fun queue(
         model: RunTimeModel,
         quota: TeamQuota,
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Reply.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Reply.kt
@@ -3,10 +3,10 @@
 import io.bluebellramp.messages.Answer
 import io.bluebellramp.messages.ErrorBody
 
-/** What a caller gets. */
+/** The reply to a caller. */
 internal sealed interface Reply {
     /** The answer of the owner. It is final for the submission id. */
-    data class Whole(
+    data class Answered(
         val answer: Answer,
     ) : Reply
 
--- a/entry/src/main/kotlin/io/bluebellramp/entry/ServiceTable.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/ServiceTable.kt
@@ -7,77 +7,77 @@
 import io.bluebellramp.placement.RetryBudget
 import kotlin.time.Duration
 
-/** The lanes of every service, and the time at which their policies decide. No I/O. */
+/** The queues of every service, and the current time for their policies. No I/O. */
 internal class ServiceTable(
-    private val lease: LeaseKeeper,
+    private val lease: LeaseState,
     private val agents: AgentDirectory,
-    private val teams: TeamLedger,
+    private val teams: TeamUsage,
     private val policies: PlacementPolicies,
 ) {
-    private val services = LinkedHashMap<ServiceId, ServiceLanes>()
+    private val services = LinkedHashMap<ServiceId, ServiceQueues>()
 
-    /** The time of the current step. */
+    /** The current time, set at the start of each call of [EntryCore]. */
     var now = Duration.ZERO
 
-    /** Services that have lanes. */
+    /** Services that have queues. */
     val ids: Set<ServiceId> get() = services.keys
 
-    /** Tasks and requests that wait. */
+    /** Number of waiting tasks and requests. */
     val waiting: Int get() = services.values.sumOf { it.waiting }
 
-    /** The lanes of [service], made if there are none yet. */
-    fun lanes(service: ServiceId): ServiceLanes = services[service] ?: add(service)
+    /** Returns the queues of [service], which are created if they don't exist yet. */
+    fun queues(service: ServiceId): ServiceQueues = services[service] ?: add(service)
 
-    /** The lanes of [service], or null if nothing ever waited there and no credit came. */
-    fun known(service: ServiceId): ServiceLanes? = services[service]
+    /** Returns the queues of [service], or null if they don't exist yet. */
+    fun existingQueues(service: ServiceId): ServiceQueues? = services[service]
 
-    /** The lane in which [submission] waits. */
-    fun lane(submission: Submission): Lane {
-        val lanes = lanes(submission.new.service)
-        return if (submission.new.kind == DispatchKind.TASK) lanes.tasks else lanes.requests
+    /** Returns the queue for [submission]. */
+    fun queueFor(submission: Submission): DispatchQueue {
+        val queues = queues(submission.spec.service)
+        return if (submission.spec.kind == DispatchKind.TASK) queues.tasks else queues.requests
     }
 
-    /** The budget for retries of the service of [submission]. */
-    fun retries(submission: Submission): RetryBudget =
-        lanes(submission.new.service).retries(share = lease.service(submission.new.service)?.retryShare ?: 0.0)
+    /** Returns the retry budget of the service of [submission]. */
+    fun retryBudget(submission: Submission): RetryBudget =
+        queues(submission.spec.service).retryBudget(share = lease.service(submission.spec.service)?.retryShare ?: 0.0)
 
-    private fun add(service: ServiceId): ServiceLanes {
-        val lanes = ServiceLanes(policies, teams)
-        services[service] = lanes
+    private fun add(service: ServiceId): ServiceQueues {
+        val queues = ServiceQueues(policies, teams)
+        services[service] = queues
         refreshSlots()
-        return lanes
+        return queues
     }
 
-    /** What waits for [service]. */
+    /** Returns the demand for [service], which is sent to its agents. */
     fun demand(service: ServiceId): Demand {
-        val lanes = services[service] ?: return Demand(tasks = 0, tasksLeft = 0)
-        val tasks = lanes.tasks.queue.demand(now)
+        val queues = services[service] ?: return Demand(tasks = 0, tasksLeft = 0)
+        val tasks = queues.tasks.jobs.demand(now)
         return Demand(
             tasks = tasks.tasks,
             tasksLeft = tasks.tasksLeft,
             requests =
-                lanes.requests.queue
+                queues.requests.jobs
                     .demand(now)
                     .tasks,
         )
     }
 
-    /** Tells whether [submission] can be answered before its deadline, as far as is known. */
+    /** Estimates whether [submission] can finish before its deadline. */
     fun forecast(submission: Submission): DeadlineForecast {
-        val lane = lane(submission)
-        return lane.model.forecast(
+        val queue = queueFor(submission)
+        return queue.model.forecast(
             tasks = submission.size,
-            tasksAhead = lane.queue.tasksAhead(submission.size),
+            tasksAhead = queue.jobs.tasksAhead(submission.size),
             remaining = submission.deadline - now,
         )
     }
 
-    /** Takes note of targets that came or went, and of changed limits. */
+    /** Updates the number of slots of each service after targets came or went or limits changed. */
     fun refreshSlots() =
-        services.forEach { (service, lanes) ->
+        services.forEach { (service, queues) ->
             val limits = lease.service(service) ?: return@forEach
             val executors = agents.connected.count { it.service == service && lease.isInService(it.zone, it.target?.target) }
-            lanes.tasks.model.slots = executors * limits.slots
-            lanes.requests.model.slots = executors * limits.connections
+            queues.tasks.model.slots = executors * limits.slots
+            queues.requests.model.slots = executors * limits.connections
         }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Submission.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Submission.kt
@@ -6,68 +6,68 @@
 import java.util.BitSet
 import kotlin.time.Duration
 
-/** Where a submission stands at an entry. */
+/** The state of a submission at an entry. */
 internal enum class SubmissionPhase {
-    /** Waits for the verdicts of the members. Nothing of it may start. */
+    /** The claim is being decided. No task may start. */
     CLAIMING,
 
-    /** Another entry owns it. */
-    FOLLOWING,
+    /** Another entry owns it, and this entry waits for the answer. */
+    AWAITING_OWNER,
 
-    /** This entry owns it and its tasks wait or run. */
+    /** This entry owns it, and its tasks wait or run. */
     OPEN,
 
-    /** Nothing new starts; the attempts in flight are being settled. */
+    /** No more tasks start, and the outcomes of dispatched attempts are being collected. */
     CLOSING,
 
     /** It has its final answer. */
     ANSWERED,
 }
 
-/** A submission at this entry and what is known of its tasks. */
+/** A submission at this entry and the state of its tasks. */
 internal class Submission(
-    val new: NewSubmission,
+    val spec: SubmissionSpec,
     val arrived: Duration,
     val deadline: Duration,
     budget: MemoryBudget,
 ) {
-    /** What it holds until it has its answer. */
-    val memory = MemoryBudget.Share(budget).apply { take(new.bytes()) }
+    /** Memory reserved until the submission has its answer. */
+    val memoryReservation = MemoryBudget.Reservation(budget).apply { add(spec.estimatedBytes()) }
 
-    val id get() = new.id
-    val size get() = new.tasks.size
+    val id get() = spec.id
+    val size get() = spec.tasks.size
     var phase = SubmissionPhase.CLAIMING
 
-    /** True while the claim is known to be held, which a lapsed lease puts in doubt. */
+    /** True while the claim is known to be held. After the lease expired it must be confirmed again. */
     var isConfirmed = true
-    var isReclaiming = false
+    var isReconfirming = false
 
-    /** True once its owner is given up for dead. From then on this entry never starts anything of it and never releases a claim on it. */
+    /** True once its owner is considered dead. From then on this entry never starts any of its tasks and never releases a claim on it. */
     var isTakingOver = false
 
-    /** Why it is to be ended before its claim is decided. */
-    var refusal: ErrorBody? = null
-    var closing: ErrorBody? = null
+    /** Why it must be refused as soon as its claim is granted, for example because it was cancelled before. */
+    var earlyRefusal: ErrorBody? = null
+    var closeReason: ErrorBody? = null
     var closingSince = Duration.ZERO
-    var isInquired = false
+    var hasInquired = false
 
-    /** An answer that waits until the claim is confirmed. */
-    var pending: Answer? = null
+    /** The answer that is held back until the claim is confirmed. */
+    var unconfirmedAnswer: Answer? = null
 
-    val attempts = IntArray(size)
-    val outstanding = HashMap<Int, Attempt>()
-    val retries = HashMap<Int, Int>()
+    val attemptNumbers = IntArray(size)
+    val outstandingAttempts = HashMap<Int, Attempt>()
+    val retryCounts = HashMap<Int, Int>()
     private val results = arrayOfNulls<String>(size)
     private val done = BitSet(size)
     private val started = BitSet(size)
     private val unknown = BitSet(size)
 
-    fun complete(
+    fun markDone(
         task: Int,
         result: String,
     ) {
         results[task] = result
-        memory.take(result.length.toLong())
+        memoryReservation.add(result.length.toLong())
         done.set(task)
         markStarted(task)
     }
@@ -83,16 +83,16 @@
 
     fun isStarted(task: Int) = started[task]
 
-    /** Tasks of which the result has come. */
+    /** Number of tasks whose result has arrived. */
     val doneTasks get() = done.cardinality()
 
     val isComplete get() = doneTasks == size
 
-    /** True if every attempt is settled: each is proved to have started or proved not to. */
-    val isSettled get() = outstanding.keys.all { started[it] } && unknown.isEmpty
+    /** True if it is known of every attempt whether it started. */
+    val isSettled get() = outstandingAttempts.keys.all { started[it] } && unknown.isEmpty
 
-    /** How many tasks started, or null if that is unknown. */
+    /** Number of tasks that started, or null if unknown. */
     val startedTasks: Int? get() = if (isSettled) started.cardinality() else null
 
-    fun taskResults(): List<TaskResult> = new.tasks.mapIndexed { i, task -> TaskResult(id = task.id, result = results[i].orEmpty()) }
+    fun taskResults(): List<TaskResult> = spec.tasks.mapIndexed { i, task -> TaskResult(id = task.id, result = results[i].orEmpty()) }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionListener.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionListener.kt
@@ -2,17 +2,17 @@
 
 import io.bluebellramp.messages.ErrorBody
 
-/** Hears what becomes of the tasks of a submission. */
+/** Is notified of the progress of a submission's tasks. */
 internal interface SubmissionListener {
     /** Every task has its result. */
     fun completed(submission: Submission)
 
-    /** A task failed for good. */
+    /** A task failed and is not retried. */
     fun failed(
         submission: Submission,
         error: ErrorBody,
     )
 
-    /** An attempt was settled while the submission is closing. */
+    /** An attempt was settled while the submission was closing. */
     fun settled(submission: Submission)
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionReader.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionParser.kt
@@ -19,27 +19,27 @@
 import java.util.HexFormat
 import kotlin.time.toJavaDuration
 
-/** What came of reading a body. */
-internal sealed interface ReadResult {
-    /** The body is whole. */
+/** The result of parsing a request body. */
+internal sealed interface ParseResult {
+    /** The body is valid. */
     data class Valid(
-        val submission: NewSubmission,
-    ) : ReadResult
+        val submission: SubmissionSpec,
+    ) : ParseResult
 
-    /** The body is refused. */
+    /** The body is invalid. */
     data class Invalid(
         val error: ErrorBody,
-    ) : ReadResult
+    ) : ParseResult
 }
 
-/** Reads the bodies of callers and finds every violation in them. */
-internal class SubmissionReader(
+/** Parses the request bodies of callers and reports every violation of the schema. */
+internal class SubmissionParser(
     private val clock: Clock,
 ) {
-    /** Reads a job. */
-    fun job(text: String): ReadResult =
-        read(text, "JobSubmission", JobSubmission.serializer()) { job, digest ->
-            NewSubmission(
+    /** Parses a job. */
+    fun parseJob(text: String): ParseResult =
+        parse(text, "JobSubmission", JobSubmission.serializer()) { job, digest ->
+            SubmissionSpec(
                 id = job.submission,
                 digest = digest,
                 service = job.service,
@@ -51,27 +51,27 @@
             )
         }
 
-    /** Reads a request. It becomes a submission of one task. */
-    fun request(text: String): ReadResult =
-        read(text, "RequestSubmission", RequestSubmission.serializer()) { request, digest ->
-            NewSubmission(
+    /** Parses a request, which becomes a submission of one task. */
+    fun parseRequest(text: String): ParseResult =
+        parse(text, "RequestSubmission", RequestSubmission.serializer()) { request, digest ->
+            SubmissionSpec(
                 id = request.submission,
                 digest = digest,
                 service = request.service,
                 team = request.team,
                 kind = DispatchKind.REQUEST,
-                tasks = listOf(TaskSpecification(id = REQUEST_TASK, payload = request.payload)),
+                tasks = listOf(TaskSpecification(id = REQUEST_TASK_ID, payload = request.payload)),
                 deadlineMillis = request.deadlineMillis,
                 idempotent = request.idempotent,
             )
         }
 
-    private fun <T> read(
+    private fun <T> parse(
         text: String,
         type: String,
         serializer: KSerializer<T>,
-        convert: (T, String) -> NewSubmission,
-    ): ReadResult {
+        convert: (T, String) -> SubmissionSpec,
+    ): ParseResult {
         val decoded =
             try {
                 StrictJson.decodeFromString(serializer, text)
@@ -92,43 +92,43 @@
                 )
             }
         val submission = convert(decoded, digest(type, StrictJson.encodeToString(serializer, decoded)))
-        if (!isPlain(submission) || (submission.hasOptions() && QUOTED.containsMatchIn(text))) {
+        if (!isWithinBounds(submission) || (submission.hasNonStringFields() && QUOTED_SCALAR.containsMatchIn(text))) {
             val violations = SchemaValidator.violations(text, type)
             if (violations.isNotEmpty()) return invalid(type, violations)
         }
-        return checkTime(submission) ?: checkTasks(submission) ?: ReadResult.Valid(submission)
+        return checkAge(submission) ?: checkTaskIds(submission) ?: ParseResult.Valid(submission)
     }
 
-    /** A cheap check of what the schema bounds; the validator is asked only if it fails. */
-    private fun isPlain(submission: NewSubmission): Boolean {
+    /** Checks the bounds of the schema cheaply. The slower validator runs only if this fails. */
+    private fun isWithinBounds(submission: SubmissionSpec): Boolean {
         val deadline = submission.deadlineMillis
         return SubmissionId.parse(submission.id.value) != null &&
-            ID.matches(submission.service.value) &&
-            (submission.team == null || ID.matches(submission.team.value)) &&
+            ID_PATTERN.matches(submission.service.value) &&
+            (submission.team == null || ID_PATTERN.matches(submission.team.value)) &&
             (deadline == null || deadline in 1..MAX_DEADLINE_MILLIS) &&
             submission.tasks.size in 1..MAX_TASKS &&
-            submission.tasks.all { it.isPlain() }
+            submission.tasks.all { it.isWithinBounds() }
     }
 
-    /** True if a field is set that is no text. */
-    private fun NewSubmission.hasOptions() =
+    /** True if a field is set whose type is not a string. */
+    private fun SubmissionSpec.hasNonStringFields() =
         deadlineMillis != null || idempotent || tasks.any { it.declaredMillis != null || it.declaredMegabytes != null }
 
-    private fun TaskSpecification.isPlain() =
+    private fun TaskSpecification.isWithinBounds() =
         id.length in 1..MAX_ID_LENGTH &&
-            payload.length <= MAX_PAYLOAD &&
+            payload.length <= MAX_PAYLOAD_LENGTH &&
             (declaredMillis ?: 0) >= 0 &&
             (declaredMegabytes ?: 0) >= 0
 
-    private fun checkTime(submission: NewSubmission): ReadResult.Invalid? {
+    private fun checkAge(submission: SubmissionSpec): ParseResult.Invalid? {
         val age = Duration.between(submission.id.instant, clock.wall())
         return when {
-            age > OLDEST -> {
-                refusedId(ErrorCode.EXPIRED_SUBMISSION, "The submission id is older than ${OLDEST.toMinutes()} min.")
+            age > MAX_AGE -> {
+                invalidId(ErrorCode.EXPIRED_SUBMISSION, "The submission id is older than ${MAX_AGE.toMinutes()} min.")
             }
 
-            age < NEWEST.negated() -> {
-                refusedId(ErrorCode.INVALID_SUBMISSION, "The submission id is more than ${NEWEST.toSeconds()} s in the future.")
+            age < MAX_CLOCK_SKEW.negated() -> {
+                invalidId(ErrorCode.INVALID_SUBMISSION, "The submission id is more than ${MAX_CLOCK_SKEW.toSeconds()} s in the future.")
             }
 
             else -> {
@@ -137,12 +137,12 @@
         }
     }
 
-    private fun refusedId(
+    private fun invalidId(
         code: ErrorCode,
         message: String,
-    ) = ReadResult.Invalid(ErrorBody(code, message, listOf(Violation("$.submission", message))))
+    ) = ParseResult.Invalid(ErrorBody(code, message, listOf(Violation("$.submission", message))))
 
-    private fun checkTasks(submission: NewSubmission): ReadResult.Invalid? {
+    private fun checkTaskIds(submission: SubmissionSpec): ParseResult.Invalid? {
         val seen = HashSet<String>()
         val violations =
             submission.tasks.mapIndexedNotNull { i, task ->
@@ -151,7 +151,7 @@
         return if (violations.isEmpty()) {
             null
         } else {
-            ReadResult.Invalid(
+            ParseResult.Invalid(
                 ErrorBody(ErrorCode.INVALID_BODY, "Task ids must be unique.", violations),
             )
         }
@@ -160,9 +160,9 @@
     private fun invalid(
         type: String,
         violations: List<Violation>,
-    ): ReadResult.Invalid {
+    ): ParseResult.Invalid {
         val code = if (violations.all { it.path == "$.submission" }) ErrorCode.INVALID_SUBMISSION else ErrorCode.INVALID_BODY
-        return ReadResult.Invalid(ErrorBody(code, "The body is not a valid $type.", violations))
+        return ParseResult.Invalid(ErrorBody(code, "The body is not a valid $type.", violations))
     }
 
     private fun digest(
@@ -175,28 +175,28 @@
     }
 
     companion object {
-        /** The task id of the only result of a request. */
-        const val REQUEST_TASK = "request"
+        /** The id of the only task of a request, which its result carries. */
+        const val REQUEST_TASK_ID = "request"
         private const val MAX_TASKS = 1_800
         private const val MAX_ID_LENGTH = 64
-        private const val MAX_PAYLOAD = 65_536
+        private const val MAX_PAYLOAD_LENGTH = 65_536
         private const val MAX_DEADLINE_MILLIS = 600_000L
 
-        /** The decoder takes a number or a truth value in quotes, which the schema does not allow. */
-        private val QUOTED = Regex(""""(deadlineMillis|declaredMillis|declaredMegabytes|idempotent)"\s*:\s*"""")
-        private val ID = Regex("^[a-z0-9][a-z0-9.-]{0,62}$")
+        /** Matches a quoted number or boolean. The decoder accepts it, but the schema does not. */
+        private val QUOTED_SCALAR = Regex(""""(deadlineMillis|declaredMillis|declaredMegabytes|idempotent)"\s*:\s*"""")
+        private val ID_PATTERN = Regex("^[a-z0-9][a-z0-9.-]{0,62}$")
 
-        /** The members remember a claim for longer than this after the time inside the id. */
-        private val OLDEST: Duration = SubmissionId.LIFE.toJavaDuration()
+        /** The members keep a claim for longer than this after the time in its id, so a repeated id is still recognized. */
+        private val MAX_AGE: Duration = SubmissionId.LIFE.toJavaDuration()
 
-        /** Control members give an id that lies further in the future no verdict. */
-        private val NEWEST: Duration = SubmissionId.CLOCK_SKEW.toJavaDuration()
+        /** The voting members give no verdict on an id whose time is further in the future. */
+        private val MAX_CLOCK_SKEW: Duration = SubmissionId.CLOCK_SKEW.toJavaDuration()
     }
 }
 
 /** Returns why [submission] can never run with [service], or null if it may. */
 internal fun limitError(
-    submission: NewSubmission,
+    submission: SubmissionSpec,
     service: Service,
 ): ErrorBody? {
     if (submission.tasks.size > service.jobTasks) {
--- a/entry/src/main/kotlin/io/bluebellramp/entry/NewSubmission.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionSpec.kt
@@ -7,12 +7,12 @@
 import io.bluebellramp.messages.TaskSpecification
 
 /**
- * A job or a request that decoded and passed the schema.
+ * The content of a valid job or request.
  *
- * @property digest SHA-256 of the canonical body in hex
- * @property deadlineMillis time from arrival, or null for the default of the service (ms)
+ * @property digest SHA-256 of the type and the canonical body, in hex
+ * @property deadlineMillis time allowed from arrival (ms), or null for the default of the service
  */
-internal data class NewSubmission(
+internal data class SubmissionSpec(
     val id: SubmissionId,
     val digest: String,
     val service: ServiceId,
@@ -22,13 +22,13 @@
     val deadlineMillis: Long?,
     val idempotent: Boolean,
 ) {
-    /** Memory of the submission and of its attempts while it is open, estimated. */
-    fun bytes(): Long = SUBMISSION_BYTES + tasks.sumOf { TASK_BYTES + it.payload.length }
+    /** Estimated memory of the submission and its attempts while it is open (bytes). */
+    fun estimatedBytes(): Long = SUBMISSION_BYTES + tasks.sumOf { TASK_BYTES + it.payload.length }
 
     private companion object {
         const val SUBMISSION_BYTES = 1_000L
 
-        /** Memory of one task besides its payload: the objects of the task, of its attempt and of its place in the queue. */
+        /** Memory of one task without its payload: the objects of the task, its attempt and its place in the queue. */
         const val TASK_BYTES = 500L
     }
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionTable.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionTable.kt
@@ -11,29 +11,32 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.minutes
 
-/** The submissions without an answer and the answers that are kept. No I/O. */
+/** The submissions without an answer, and the cached final answers. No I/O. */
 internal class SubmissionTable(
-    private val counters: Counters,
-    private val sink: ActionSink,
+    private val counters: EntryCounters,
+    private val actions: ActionBuffer,
     budget: MemoryBudget,
 ) {
     private val submissions = LinkedHashMap<SubmissionId, Submission>()
     private val owners = HashMap<SubmissionId, ClaimHolder>()
 
-    /** By deadline. A submission leaves with its answer, so that its payloads are not held until then. */
+    /**
+     * Submissions by deadline. A submission is removed when it is answered, so that its payloads are not kept in memory until the
+     * deadline.
+     */
     private val deadlines = TreeSet<Submission>(compareBy({ it.deadline }, { it.id.value }))
-    private val kept = KeptAnswers(life = KEEP_LIFE, budget = budget)
+    private val answers = AnswerCache(retention = ANSWER_RETENTION, budget = budget)
 
-    /** Submissions whose attempts are being settled. */
+    /** Submissions whose dispatched attempts are being settled. */
     val closing = LinkedHashSet<Submission>()
 
-    /** Submissions whose claim must be confirmed. */
+    /** Submissions whose claim must be confirmed after the lease expired. */
     val unconfirmed = LinkedHashSet<Submission>()
 
-    /** The time of the current step. */
+    /** The current time, set at the start of each call of [EntryCore]. */
     var now = Duration.ZERO
 
-    /** Submissions without an answer. */
+    /** Number of submissions without an answer. */
     val size get() = submissions.size
 
     /** The submissions that this entry owns. */
@@ -41,24 +44,24 @@
 
     operator fun get(id: SubmissionId): Submission? = submissions[id]
 
-    /** The answer that is kept for [id], or null. */
-    fun kept(id: SubmissionId): KeptAnswers.Kept? = kept[id]
+    /** The cached final answer for [id], or null. */
+    fun cachedAnswer(id: SubmissionId): AnswerCache.CachedAnswer? = answers[id]
 
-    /** Forgets the answers whose life is over. */
-    fun forgetOld() = kept.expire(now)
+    /** Removes expired answers from the cache. */
+    fun expireAnswers() = answers.expire(now)
 
     fun add(submission: Submission) {
         submissions[submission.id] = submission
         deadlines += submission
     }
 
-    /** Takes the next submission whose deadline has come, or null. Each is taken once. */
-    fun takeDue(): Submission? = if (deadlines.isNotEmpty() && deadlines.first().deadline <= now) deadlines.pollFirst() else null
+    /** Removes and returns the next submission whose deadline has passed, or null. Each submission is returned once. */
+    fun takeExpired(): Submission? = if (deadlines.isNotEmpty() && deadlines.first().deadline <= now) deadlines.pollFirst() else null
 
-    /** The entry that owns a followed submission. */
+    /** Returns the other entry that owns [submission]. */
     fun owner(submission: Submission): ClaimHolder = owners.getValue(submission.id)
 
-    /** Notes who owns [submission], or that nobody is known to. */
+    /** Sets the other entry that owns [submission], or null if the owner is unknown. */
     fun setOwner(
         submission: Submission,
         owner: ClaimHolder?,
@@ -66,63 +69,64 @@
         if (owner == null) owners.remove(submission.id) else owners[submission.id] = owner
     }
 
-    /** Tells what is known of [id]. */
-    fun lookup(id: SubmissionId): Lookup {
-        kept[id]?.let { return Lookup.Answered(it.answer) }
-        val submission = submissions[id] ?: return Lookup.Unknown
-        return if (submission.isTakingOver) Lookup.Lost(ownerLost(submission)) else Lookup.Pending(isFollowing = id in owners)
+    /** Returns what this entry knows about [id]. */
+    fun lookup(id: SubmissionId): LookupResult {
+        answers[id]?.let { return LookupResult.Answered(it.answer) }
+        val submission = submissions[id] ?: return LookupResult.Unknown
+        return if (submission.isTakingOver) LookupResult.Lost(ownerLost(submission)) else LookupResult.Pending(isRemote = id in owners)
     }
 
-    /** The answer to a submission whose owner is given up for dead. */
-    fun ownerLost(submission: Submission): Answer = lost(submission, "The entry ${owners[submission.id]?.entry} that owned it is gone.")
+    /** The answer to a submission whose owner is considered dead. */
+    fun ownerLost(submission: Submission): Answer =
+        lostAnswer(submission, "The entry ${owners[submission.id]?.entry} that owned it is gone.")
 
-    /** The answer to a submission of which nothing certain is known. */
-    fun lost(
+    /** The answer to a submission of which it is unknown whether tasks started. */
+    fun lostAnswer(
         submission: Submission,
         message: String,
     ) = Answer(submission = submission.id, outcome = AnswerOutcome.FAILED, error = ErrorBody(ErrorCode.OWNER_LOST, message))
 
-    /** Gives the final answer and keeps it. */
+    /** Delivers the final answer and caches it. */
     fun deliver(
         submission: Submission,
         answer: Answer,
     ) {
         forget(submission)
-        kept.add(submission.new.digest, answer, now)
-        counters.answer(answer.outcome)
-        sink += Action.Deliver(submission.id, Reply.Whole(answer))
+        answers.add(submission.spec.digest, answer, now)
+        counters.countAnswer(answer.outcome)
+        actions += Action.Deliver(submission.id, Reply.Answered(answer))
     }
 
-    /** Notes that a caller has the whole answer to [id]. */
-    fun fetched(id: SubmissionId) = kept.fetched(id)
+    /** Records that a caller has received the full answer to [id]. */
+    fun markFetched(id: SubmissionId) = answers.markFetched(id)
 
-    /** Returns the final answers that no caller has. */
-    fun unfetched(): List<KeptAnswer> = kept.unfetched().map { KeptAnswer(digest = it.digest, answer = it.answer) }
+    /** Returns the final answers that no caller has received. */
+    fun unfetchedAnswers(): List<KeptAnswer> = answers.unfetchedAnswers().map { KeptAnswer(digest = it.digest, answer = it.answer) }
 
-    /** Keeps the final answer of another entry that ends, and gives it to those who wait for it here. */
-    fun adopt(adopted: KeptAnswer) {
-        val id = adopted.answer.submission
-        if (kept[id] != null) return
-        val submission = submissions[id] ?: return kept.add(adopted.digest, adopted.answer, now)
-        val isFollowing = submission.phase == SubmissionPhase.FOLLOWING && !submission.isTakingOver
-        if (isFollowing && submission.new.digest == adopted.digest) deliver(submission, adopted.answer)
+    /** Caches the final answer of another entry that shuts down, and delivers it to callers that wait for it here. */
+    fun importAnswer(imported: KeptAnswer) {
+        val id = imported.answer.submission
+        if (answers[id] != null) return
+        val submission = submissions[id] ?: return answers.add(imported.digest, imported.answer, now)
+        val isRemote = submission.phase == SubmissionPhase.AWAITING_OWNER && !submission.isTakingOver
+        if (isRemote && submission.spec.digest == imported.digest) deliver(submission, imported.answer)
     }
 
-    /** Refuses a submission of which this entry started nothing and that it does not own. */
+    /** Refuses a submission that this entry does not own and of which it started no task. */
     fun refuse(
         submission: Submission,
         code: ErrorCode,
         message: String,
     ) {
         forget(submission)
-        counters.refusal(code)
-        sink += Action.LogRouting("refuse", code.name.lowercase(), submission.id)
-        sink += Action.Deliver(submission.id, Reply.Refused(ErrorBody(code, message)))
+        counters.countRefusal(code)
+        actions += Action.LogSubmissionDecision("refuse", code.name.lowercase(), submission.id)
+        actions += Action.Deliver(submission.id, Reply.Refused(ErrorBody(code, message)))
     }
 
     private fun forget(submission: Submission) {
         submission.phase = SubmissionPhase.ANSWERED
-        submission.memory.close()
+        submission.memoryReservation.close()
         submissions.remove(submission.id)
         owners.remove(submission.id)
         deadlines -= submission
@@ -131,7 +135,7 @@
     }
 
     private companion object {
-        /** Longest life of an id, with a margin for clocks that differ. */
-        val KEEP_LIFE = 12.minutes
+        /** Longest lifetime of an id, with a margin for clock differences. */
+        val ANSWER_RETENTION = 12.minutes
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/CoreDriver.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/CoreDriver.kt
@@ -34,43 +34,43 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Drives a core by hand in virtual time. Claims are granted unless [grantsClaims] is false. */
+/** Drives an [EntryCore] in virtual time. Claims are granted at once unless [grantsClaims] is false. */
 internal class CoreDriver(
-    queuedTasks: Int = 100,
+    maxQueuedTasks: Int = 100,
 ) {
     val core =
         EntryCore(
             EntryIdentity(EntryId("e1"), IncarnationId("run-1"), Address("127.0.0.1:1"), SiteId("vestland"), ZoneId("bergen-a")),
-            queuedTasks,
+            maxQueuedTasks,
         )
     var now = Duration.ZERO
     var grantsClaims = true
     val claims = ArrayList<Action.Claim>()
     val releases = ArrayList<Action.Release>()
 
-    /** Links that something waits for. */
-    val woken = LinkedHashSet<LinkId>()
+    /** Connections for which the core requested sending. */
+    val linksToFlush = LinkedHashSet<LinkId>()
     val replies = LinkedHashMap<SubmissionId, Reply>()
-    private var ids = 0L
+    private var lastId = 0L
 
     fun step(block: EntryCore.(Duration) -> Unit) {
         core.block(now)
-        val actions = core.take()
+        val actions = core.takeActions()
         actions.filterIsInstance<Action.Deliver>().forEach { replies[it.submission] = it.reply }
         releases += actions.filterIsInstance<Action.Release>()
-        actions.filterIsInstance<Action.Wake>().forEach { woken += it.link }
+        actions.filterIsInstance<Action.Flush>().forEach { linksToFlush += it.link }
         actions.filterIsInstance<Action.Claim>().forEach { claim ->
             claims += claim
-            if (grantsClaims) step { claimed(claim.submission, ClaimResult.Granted, it) }
+            if (grantsClaims) step { onClaimResult(claim.submission, ClaimResult.Granted, it) }
         }
     }
 
-    fun pass(millis: Int) {
+    fun advance(millis: Int) {
         now += millis.milliseconds
         step { tick(it) }
     }
 
-    fun lease(
+    fun renewLease(
         revision: Long = 1,
         sent: Duration = now,
         zonesOut: List<String> = emptyList(),
@@ -85,7 +85,7 @@
                     ConfigurationView(
                         revision = Revision(revision),
                         base = WireJson.decodeFromString(JsonObject.serializer(), CONFIGURATION),
-                        overlays = mapOf("vestland" to WireJson.decodeFromString(JsonObject.serializer(), OVERLAY)),
+                        overlays = mapOf("vestland" to WireJson.decodeFromString(JsonObject.serializer(), SITE_OVERLAY)),
                         zonesOut = zonesOut.map(::ZoneId),
                         targetsOut = emptyList(),
                     ),
@@ -95,29 +95,29 @@
                     ) { EntryPeer(EntryId("e$it"), IncarnationId("run-$it"), Address("127.0.0.1:$it"), SiteId("vestland")) },
                 members = ClaimMembers(1, listOf(MemberAddress(MemberId("m1"), Address("127.0.0.1:9")))),
             )
-        renewed(response, sent, now)
+        onLeaseResponse(response, sent, now)
     }
 
-    /** Connects an agent with [slots] credits and returns its link. */
-    fun agent(
+    /** Connects an agent that grants [slots] credits, and returns its connection. */
+    fun connectAgent(
         name: String = "a1",
-        run: String = "run-$name",
+        incarnation: String = "run-$name",
         slots: Int = 0,
         zone: String = "bergen-a",
     ): LinkId {
-        val link = LinkId(++ids)
-        val hello = AgentHello(AgentId(name), IncarnationId(run), SiteId("vestland"), ZoneId(zone))
+        val link = LinkId(++lastId)
+        val hello = AgentHello(AgentId(name), IncarnationId(incarnation), SiteId("vestland"), ZoneId(zone))
         val target = TargetState(TargetId(name), ServiceId("desk"), present = true)
-        frame(link, AgentFrame(hello = hello, target = target, credits = Credits(slots = slots)))
+        onFrame(link, AgentFrame(hello = hello, target = target, credits = Credits(slots = slots)))
         return link
     }
 
-    fun frame(
+    fun onFrame(
         link: LinkId,
         frame: AgentFrame,
-    ) = step { frame(link, frame, it) }
+    ) = step { onFrame(link, frame, it) }
 
-    fun drain(link: LinkId): EntryFrame? = core.drain(link, now)
+    fun takeFrame(link: LinkId): EntryFrame? = core.takeFrame(link, now)
 
     fun submit(
         size: Int = 3,
@@ -125,9 +125,9 @@
         idempotent: Boolean = false,
         deadlineMillis: Long = 60_000,
     ): SubmissionId {
-        val new =
-            NewSubmission(
-                id = SubmissionId.create(Instant.EPOCH, ++ids, ids),
+        val spec =
+            SubmissionSpec(
+                id = SubmissionId.create(Instant.EPOCH, ++lastId, lastId),
                 digest = "d",
                 service = ServiceId("desk"),
                 team = team?.let(::TeamId),
@@ -136,8 +136,8 @@
                 deadlineMillis = deadlineMillis,
                 idempotent = idempotent,
             )
-        step { now -> submit(new, now)?.let { replies[new.id] = it } }
-        return new.id
+        step { now -> submit(spec, now)?.let { replies[spec.id] = it } }
+        return spec.id
     }
 
     /** Reports [status] for [dispatches]. */
@@ -147,7 +147,7 @@
         status: TaskStatus,
         credits: Int = 0,
         ranMicros: Long = 0,
-    ) = frame(
+    ) = onFrame(
         link,
         AgentFrame(
             outcomes =
@@ -158,10 +158,10 @@
         ),
     )
 
-    fun answer(id: SubmissionId): Answer? = (replies[id] as? Reply.Whole)?.answer
+    fun answer(id: SubmissionId): Answer? = (replies[id] as? Reply.Answered)?.answer
 
     private companion object {
         const val CONFIGURATION = """{"services":{"desk":{"slots":8}},"teams":{"brekke":{"runningTasks":4,"queuedTasks":10}},"sites":{}}"""
-        const val OVERLAY = """{"services":{"desk":{"slots":4}}}"""
+        const val SITE_OVERLAY = """{"services":{"desk":{"slots":4}}}"""
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/DecisionLogTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/DecisionLogTest.kt
@@ -11,20 +11,20 @@
 import kotlin.test.assertNull
 
 class DecisionLogTest {
-    private val budget = MemoryBudget(most = 10 * DecisionLog.LINE_BYTES)
+    private val budget = MemoryBudget(maxBytes = 10 * DecisionLog.BYTES_PER_LINE)
     private val lines = ConcurrentLinkedQueue<Decision>()
-    private val log = DecisionLog(EntryId("e1"), budget, put = lines::add)
+    private val log = DecisionLog(EntryId("e1"), budget, emit = lines::add)
 
     @Test
-    fun `a log that can't keep up drops no line but leaves no memory for new calls`() =
+    fun `a log that can't keep up drops no line but uses up the memory for new calls`() =
         runBlocking {
             val ids = List(20) { SubmissionId("id-$it") }
-            ids.forEach { log.add(Action.LogRouting("admit", "claim granted", it)) }
-            assertNull(budget.admit(1))
+            ids.forEach { log.add(Action.LogSubmissionDecision("admit", "claim granted", it)) }
+            assertNull(budget.tryReserve(1))
             val writer = launch { log.run() }
             log.close()
             writer.join()
-            assertEquals(0, budget.used)
+            assertEquals(0, budget.usedBytes)
             assertEquals(ids, lines.map { it.fields["submission"] })
         }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntryShellTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntryCoreRunnerTest.kt
@@ -18,33 +18,33 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-class EntryShellTest {
+class EntryCoreRunnerTest {
     private val identity =
         EntryIdentity(EntryId("e1"), IncarnationId("run-1"), Address("127.0.0.1:1"), SiteId("vestland"), ZoneId("bergen-a"))
     private val scope = CoroutineScope(Dispatchers.Default)
-    private val shell = EntryShell(EntryCore(identity, queuedTasks = 1), SystemClock, scope)
+    private val runner = EntryCoreRunner(EntryCore(identity, maxQueuedTasks = 1), SystemClock, scope)
 
     @Test
-    fun `the lease goes before all other work that waits for the core`() =
+    fun `lease renewal runs before all other calls that wait for the core`() =
         runBlocking {
             val isBusy = CountDownLatch(1)
             val end = CountDownLatch(1)
             val order = CopyOnWriteArrayList<String>()
             val busy =
                 scope.launch {
-                    shell.use {
+                    runner.withCore {
                         isBusy.countDown()
                         end.await()
                     }
                 }
             isBusy.await()
-            val others = List(100) { waiting { shell.use { order.add("other") } } }
-            val lease = waiting { shell.useFirst { order.add("lease") } }
+            val others = List(100) { waiting { runner.withCore { order.add("other") } } }
+            val lease = waiting { runner.withCoreFirst { order.add("lease") } }
             end.countDown()
             joinAll(busy, lease, *others.toTypedArray())
             assertEquals("lease" to 101, order.first() to order.size)
         }
 
-    /** Starts [block], which waits for the core when this returns. */
+    /** Starts [block], which is waiting for the core when this returns. */
     private fun waiting(block: suspend () -> Unit): Job = scope.launch(start = CoroutineStart.UNDISPATCHED) { block() }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntryLeaseTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntryLeaseTest.kt
@@ -16,15 +16,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Permits and leases of an entry, in virtual time. */
+/** Leases of an entry and the permits that it issues, in virtual time. */
 class EntryLeaseTest {
     private val driver = CoreDriver()
 
-    private fun request(
+    private fun requestPermit(
         link: LinkId,
         sequence: Long,
         revision: Long,
-    ) = driver.frame(link, AgentFrame(permitRequest = PermitRequest(sequence, Revision(revision))))
+    ) = driver.onFrame(link, AgentFrame(permitRequest = PermitRequest(sequence, Revision(revision))))
 
     private fun oldestPermit() =
         driver.core
@@ -34,61 +34,61 @@
     @Nested
     inner class `A permit` {
         @Test
-        fun `lasts as long as its lease from the moment the lease was asked for`() {
+        fun `expires with the lease, whose duration counts from the time of its request`() {
             driver.now = 1_500.milliseconds
-            driver.lease(sent = Duration.ZERO)
-            val link = driver.agent()
-            request(link, sequence = 7, revision = 0)
-            val permit = assertNotNull(driver.drain(link)?.permit)
+            driver.renewLease(sent = Duration.ZERO)
+            val link = driver.connectAgent()
+            requestPermit(link, sequence = 7, revision = 0)
+            val permit = assertNotNull(driver.takeFrame(link)?.permit)
             assertEquals(500, permit.validMillis)
             assertEquals(7, permit.sequence)
             assertEquals(4, permit.slots, "the overlay of the site counts")
         }
 
         @Test
-        fun `is not given without a live lease`() {
-            driver.lease()
-            val link = driver.agent()
-            driver.pass(2_000)
-            request(link, sequence = 1, revision = 0)
-            assertNull(driver.drain(link)?.permit)
+        fun `is not issued without a valid lease`() {
+            driver.renewLease()
+            val link = driver.connectAgent()
+            driver.advance(2_000)
+            requestPermit(link, sequence = 1, revision = 0)
+            assertNull(driver.takeFrame(link)?.permit)
         }
 
         @Test
-        fun `is not given to an agent that has seen a greater revision`() {
-            driver.lease()
-            val link = driver.agent()
-            request(link, sequence = 1, revision = 2)
-            assertNull(driver.drain(link)?.permit)
+        fun `is not issued to an agent that has seen a greater revision`() {
+            driver.renewLease()
+            val link = driver.connectAgent()
+            requestPermit(link, sequence = 1, revision = 2)
+            assertNull(driver.takeFrame(link)?.permit)
         }
 
         @Test
-        fun `is renewed at once under a new revision`() {
-            driver.lease()
-            val link = driver.agent()
-            request(link, sequence = 1, revision = 0)
-            driver.drain(link)
-            driver.lease(revision = 2, zonesOut = listOf("bergen-a"))
-            val permit = assertNotNull(driver.drain(link)?.permit)
+        fun `is renewed at once when the revision increases`() {
+            driver.renewLease()
+            val link = driver.connectAgent()
+            requestPermit(link, sequence = 1, revision = 0)
+            driver.takeFrame(link)
+            driver.renewLease(revision = 2, zonesOut = listOf("bergen-a"))
+            val permit = assertNotNull(driver.takeFrame(link)?.permit)
             assertEquals(listOf(1L, 2L), listOf(permit.sequence, permit.revision.value))
             assertTrue(!permit.inService)
         }
 
         @Test
-        fun `holds back the reported revision until it is dead or replaced`() {
-            driver.lease()
-            val first = driver.agent("a1")
-            val second = driver.agent("a2")
+        fun `limits the reported oldest revision until it expires or is replaced`() {
+            driver.renewLease()
+            val first = driver.connectAgent("a1")
+            val second = driver.connectAgent("a2")
             listOf(first, second).forEach {
-                request(it, sequence = 1, revision = 0)
-                driver.drain(it)
+                requestPermit(it, sequence = 1, revision = 0)
+                driver.takeFrame(it)
             }
-            driver.pass(500)
-            driver.lease(revision = 2)
+            driver.advance(500)
+            driver.renewLease(revision = 2)
             assertEquals(1, oldestPermit())
-            request(first, sequence = 2, revision = 2)
+            requestPermit(first, sequence = 2, revision = 2)
             assertEquals(1, oldestPermit(), "the second agent may still hold the old one")
-            driver.pass(1_600)
+            driver.advance(1_600)
             assertEquals(2, oldestPermit())
         }
     }
@@ -97,33 +97,33 @@
     inner class `A lease` {
         @Test
         fun `with a lower revision is ignored`() {
-            driver.lease(revision = 3)
-            driver.pass(1_000)
-            driver.lease(revision = 2)
-            driver.pass(1_000)
+            driver.renewLease(revision = 3)
+            driver.advance(1_000)
+            driver.renewLease(revision = 2)
+            driver.advance(1_000)
             assertTrue(!driver.core.lease.isLive(driver.now))
             assertEquals(3, driver.core.lease.revision.value)
         }
 
         @Test
-        fun `that is missing makes the entry refuse`() {
+        fun `is required to accept submissions`() {
             assertEquals(ErrorCode.NOT_READY, assertIs<Reply.Refused>(driver.replies[driver.submit()]).error.code)
         }
 
         @Test
-        fun `that lapsed holds an answer back until the claim is confirmed`() {
-            driver.lease()
-            val link = driver.agent(slots = 4)
+        fun `that expired delays answers until the claim is confirmed`() {
+            driver.renewLease()
+            val link = driver.connectAgent(slots = 4)
             val id = driver.submit(1)
-            val dispatches = driver.drain(link)!!.dispatches
+            val dispatches = driver.takeFrame(link)!!.dispatches
             driver.grantsClaims = false
-            driver.pass(2_100)
+            driver.advance(2_100)
             driver.report(link, dispatches, TaskStatus.DONE)
             assertNull(driver.answer(id))
-            driver.lease()
+            driver.renewLease()
             assertNull(driver.answer(id))
             assertEquals(id, driver.claims.last().submission)
-            driver.step { claimed(id, ClaimResult.Granted, it) }
+            driver.step { onClaimResult(id, ClaimResult.Granted, it) }
             assertEquals(AnswerOutcome.COMPLETE, driver.answer(id)?.outcome)
         }
     }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntryOwnershipTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntryOwnershipTest.kt
@@ -15,27 +15,27 @@
 import kotlin.test.assertNull
 import kotlin.test.assertTrue
 
-/** Submissions whose owner is gone, in virtual time. */
+/** Takeover of submissions whose owner is gone, in virtual time. */
 class EntryOwnershipTest {
     private val driver = CoreDriver()
 
     @Nested
-    inner class `An entry that joined an owner which is gone` {
+    inner class `An entry that waits for an owner which is gone` {
         private fun held(entry: String) =
             ClaimResult.Held(ClaimHolder(EntryId(entry), IncarnationId("run-$entry"), Address("127.0.0.1:2")), "d")
 
         private fun lookup(id: SubmissionId) = driver.core.lookup(id)
 
         @Test
-        fun `takes over after 3 s, says that the outcome is unknown, and never claims it for itself`() {
+        fun `takes over after 3 s, answers that the outcome is unknown, and never claims the submission for itself`() {
             driver.grantsClaims = false
-            driver.lease()
+            driver.renewLease()
             val id = driver.submit()
-            driver.step { claimed(id, held("e8"), it) }
+            driver.step { onClaimResult(id, held("e8"), it) }
             repeat(32) {
-                driver.pass(100)
-                driver.lease()
-                driver.step { now -> followed(id, FollowResult.NoAnswer, now) }
+                driver.advance(100)
+                driver.renewLease()
+                driver.step { now -> onOwnerReply(id, OwnerReply.NoAnswer, now) }
                 assertEquals(
                     if (it < 31) null else "run-e8",
                     driver.claims
@@ -46,9 +46,9 @@
                 )
             }
             val released = driver.releases.size
-            assertIs<Lookup.Lost>(lookup(id), "others are told at once")
-            driver.step { claimed(id, held("e9"), it) }
-            driver.step { followed(id, FollowResult.NotOwner, it) }
+            assertIs<LookupResult.Lost>(lookup(id), "others are told at once")
+            driver.step { onClaimResult(id, held("e9"), it) }
+            driver.step { onOwnerReply(id, OwnerReply.NotOwner, it) }
             assertEquals(AnswerOutcome.FAILED to ErrorCode.OWNER_LOST, driver.answer(id)?.outcome to driver.answer(id)?.error?.code)
             driver.step { releaseUnknown(id) }
             assertEquals(2 to released, driver.claims.size to driver.releases.size)
@@ -56,18 +56,18 @@
     }
 
     @Nested
-    inner class `An owner that was taken over` {
+    inner class `An owner whose submission was taken over` {
         @Test
-        fun `says failed with an unknown number and starts nothing more`() {
-            driver.lease()
-            val link = driver.agent(slots = 1)
+        fun `answers failed with an unknown number of started tasks and starts nothing more`() {
+            driver.renewLease()
+            val link = driver.connectAgent(slots = 1)
             val id = driver.submit(2)
-            val dispatches = driver.drain(link)!!.dispatches
+            val dispatches = driver.takeFrame(link)!!.dispatches
             driver.grantsClaims = false
-            driver.pass(2_100)
-            driver.lease()
+            driver.advance(2_100)
+            driver.renewLease()
             driver.step {
-                claimed(
+                onClaimResult(
                     id,
                     ClaimResult.Held(ClaimHolder(EntryId("e2"), IncarnationId("run-9"), Address("127.0.0.1:2")), "d"),
                     it,
@@ -76,7 +76,7 @@
             assertEquals(AnswerOutcome.FAILED to ErrorCode.OWNER_LOST, driver.answer(id)?.outcome to driver.answer(id)?.error?.code)
             assertNull(driver.answer(id)?.startedTasks)
             driver.report(link, dispatches, TaskStatus.DONE, credits = 1)
-            assertTrue(driver.drain(link)!!.dispatches.isEmpty())
+            assertTrue(driver.takeFrame(link)!!.dispatches.isEmpty())
         }
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntryProgramTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntryProgramTest.kt
@@ -61,7 +61,7 @@
         local.stop()
     }
 
-    private fun test(block: suspend () -> Unit) = local.test { block() }
+    private fun runTest(block: suspend () -> Unit) = local.runTest { block() }
 
     private suspend fun post(
         job: JobSubmission,
@@ -83,7 +83,7 @@
     inner class `A caller who submits a job` {
         @Test
         fun `gets every result in the order of the tasks`() =
-            test {
+            runTest {
                 agent("a1")
                 agent("a2")
                 val response = post(job(50))
@@ -95,7 +95,7 @@
 
         @Test
         fun `gets the same answer again for the same id`() =
-            test {
+            runTest {
                 agent("a1")
                 val job = job()
                 val first = post(job).answer()
@@ -105,7 +105,7 @@
 
         @Test
         fun `gets a conflict for the same id with another body`() =
-            test {
+            runTest {
                 agent("a1")
                 val job = job()
                 post(job)
@@ -115,7 +115,7 @@
 
         @Test
         fun `gets the answer of the owner from another entry`() =
-            test {
+            runTest {
                 val other = freeAddress()
                 listOf("a1" to address, "a2" to other).forEach { (name, entry) ->
                     agent(name, entry) {
@@ -123,7 +123,7 @@
                         it.done()
                     }
                 }
-                val second = local.another("e2", other)
+                val second = local.startAnother("e2", other)
                 while (!second.isReady()) delay(5)
                 val job = job()
                 val answers =
@@ -134,8 +134,8 @@
             }
 
         @Test
-        fun `gets failed with the number of started tasks when one fails`() =
-            test {
+        fun `gets failed with the number of started tasks if a task fails`() =
+            runTest {
                 agent("a1") { if (it.task == 0) it.done().copy(status = TaskStatus.ERROR, reason = "no spot") else it.done() }
                 val answer = post(job(1)).answer()
                 assertEquals(AnswerOutcome.FAILED, answer.outcome)
@@ -145,24 +145,24 @@
 
         @Test
         fun `can ask for the answer later`() =
-            test {
-                val go = CompletableDeferred<Unit>()
+            runTest {
+                val mayFinish = CompletableDeferred<Unit>()
                 agent("a1") {
-                    go.await()
+                    mayFinish.await()
                     it.done()
                 }
                 val job = job()
                 assertEquals(HttpStatusCode.Accepted, post(job, query = "?wait=10").status)
                 assertEquals(HttpStatusCode.Accepted, http.get("http://$address/v1/jobs/${job.submission}?wait=1").status)
-                go.complete(Unit)
+                mayFinish.complete(Unit)
                 assertEquals(AnswerOutcome.COMPLETE, http.get("http://$address/v1/jobs/${job.submission}").answer().outcome)
                 val again = http.get("http://$address/v1/jobs/${job.submission}?wait=0")
                 assertEquals(HttpStatusCode.OK, again.status, "an answer that is there needs no wait")
             }
 
         @Test
-        fun `gets the answer to a job that takes longer than a request may take to arrive`() =
-            test {
+        fun `gets the answer to a job that runs longer than the time limit for receiving a request`() =
+            runTest {
                 val agent =
                     agent("a1") {
                         delay(11_000)
@@ -175,8 +175,8 @@
             }
 
         @Test
-        fun `gets not run for a cancelled job of which nothing started`() =
-            test {
+        fun `gets not run for a cancelled job if nothing started`() =
+            runTest {
                 val job = job()
                 post(job, query = "?wait=50")
                 val answer = post("/v1/jobs/${job.submission}/cancel", "").answer()
@@ -186,14 +186,14 @@
 
     @Nested
     inner class `A caller who asks an entry that has not seen the submission` {
-        private suspend fun second(): Address {
+        private suspend fun startSecondEntry(): Address {
             val other = freeAddress()
-            val second = local.another("e2", other)
+            val second = local.startAnother("e2", other)
             while (!second.isReady() || control.peers.size < 2) delay(5)
             return other
         }
 
-        private suspend fun pending(
+        private suspend fun pendingBody(
             at: Address,
             job: JobSubmission,
         ): PendingBody {
@@ -204,8 +204,8 @@
 
         @Test
         fun `can cancel it there`() =
-            test {
-                val other = second()
+            runTest {
+                val other = startSecondEntry()
                 val job = job()
                 post(job, query = "?wait=50")
                 val answer = post("/v1/jobs/${job.submission}/cancel", "", other).answer()
@@ -214,27 +214,27 @@
             }
 
         @Test
-        fun `is told how many tasks are done, and the answer then`() =
-            test {
-                val go = CompletableDeferred<Unit>()
+        fun `gets the number of completed tasks, and the answer once it is there`() =
+            runTest {
+                val mayFinish = CompletableDeferred<Unit>()
                 agent("a1") {
-                    if (it.task > 1) go.await()
+                    if (it.task > 1) mayFinish.await()
                     it.done()
                 }
-                val other = second()
+                val other = startSecondEntry()
                 val job = job(5)
                 post(job, query = "?wait=10")
-                while (pending(address, job).tasksDone != 2) delay(5)
+                while (pendingBody(address, job).tasksDone != 2) delay(5)
                 val expected = PendingBody(submission = job.submission, tasks = 5, tasksDone = 2)
-                assertEquals(listOf(expected, expected), listOf(address, other).map { pending(it, job) })
-                go.complete(Unit)
+                assertEquals(listOf(expected, expected), listOf(address, other).map { pendingBody(it, job) })
+                mayFinish.complete(Unit)
                 assertEquals(AnswerOutcome.COMPLETE, http.get("http://$other/v1/jobs/${job.submission}").answer().outcome)
             }
 
         @Test
-        fun `is told that no entry knows it, unless one does not answer`() =
-            test {
-                val other = second()
+        fun `is told that no entry knows it, unless an entry does not answer`() =
+            runTest {
+                val other = startSecondEntry()
                 val path = "/v1/jobs/${SubmissionId.create(Instant.now())}/cancel"
                 assertEquals(ErrorCode.NOT_FOUND, post(path, "", other).error().code)
                 val gone = EntryPeer(EntryId("e3"), IncarnationId.next(), freeAddress(), SiteId("vestland"))
@@ -247,7 +247,7 @@
     inner class `A caller who sends a request` {
         @Test
         fun `gets one result`() =
-            test {
+            runTest {
                 agent("a1")
                 val request = RequestSubmission(SubmissionId.create(Instant.now()), ServiceId("desk"), "price")
                 val answer = post("/v1/requests", WireJson.encodeToString(RequestSubmission.serializer(), request)).answer()
@@ -259,7 +259,7 @@
     inner class `An agent` {
         @Test
         fun `gets a permit that lasts no longer than the lease`() =
-            test {
+            runTest {
                 val agent = agent("a1")
                 while (agent.permits.isEmpty()) delay(5)
                 val permit = agent.permits.first()
@@ -274,7 +274,7 @@
     inner class `An entry without a majority for claims` {
         @Test
         fun `refuses and starts nothing`() =
-            test {
+            runTest {
                 agent("a1")
                 control.abstains = true
                 val response = post(job())
@@ -286,10 +286,10 @@
     }
 
     @Nested
-    inner class `An entry that ends` {
+    inner class `An entry that shuts down` {
         @Test
-        fun `answers what is in flight`() =
-            test {
+        fun `answers the calls in progress`() =
+            runTest {
                 agent("a1") {
                     delay(300)
                     it.done()
