--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntryShutdownTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntryShutdownTest.kt
@@ -29,7 +29,7 @@
     private val address = local.address
     private val agent = FakeAgent(address, "a1") { it.done() }.start()
     private val responses = ConcurrentHashMap<SubmissionId, String>()
-    private val hasEnded = AtomicBoolean()
+    private val isEntryStopped = AtomicBoolean()
 
     @AfterEach
     fun stop() {
@@ -37,7 +37,7 @@
         local.stop()
     }
 
-    /** Submits a task on a new connection and notes the whole response, or an empty one. */
+    /** Submits a job on a new connection and records the response, or an empty string if the call failed. */
     private fun call() {
         val job = job(size = 1)
         val body = WireJson.encodeToString(JobSubmission.serializer(), job)
@@ -53,33 +53,37 @@
             }
     }
 
-    private fun isWhole(response: String) = response.startsWith("HTTP/1.1 ") && response.endsWith("}")
+    private fun isComplete(response: String) = response.startsWith("HTTP/1.1 ") && response.endsWith("}")
 
     @Nested
-    inner class `An entry that ends while callers go on` {
+    inner class `An entry that shuts down while callers keep submitting` {
         @Test
-        fun `holds no claim on a call that got no whole response`() =
-            local.test {
+        fun `holds no claim for a call that got no complete response`() =
+            local.runTest {
                 withContext(Dispatchers.IO) {
-                    val callers = List(CALLERS) { async { while (!hasEnded.get()) call() } }
+                    val callers = List(CALLER_COUNT) { async { while (!isEntryStopped.get()) call() } }
                     delay(300)
                     local.stopEntry()
-                    hasEnded.set(true)
+                    isEntryStopped.set(true)
                     callers.awaitAll()
                 }
-                val cut = responses.filterValues { !isWhole(it) }.keys
-                assertTrue(responses.size > cut.size, "calls that were answered")
-                assertEquals(emptyList(), cut.filter { local.control.held.containsKey(it) }, "claims of ${cut.size} cut calls")
+                val incomplete = responses.filterValues { !isComplete(it) }.keys
+                assertTrue(responses.size > incomplete.size, "calls that were answered")
+                assertEquals(
+                    emptyList(),
+                    incomplete.filter { local.control.claims.containsKey(it) },
+                    "claims of ${incomplete.size} cut calls",
+                )
             }
     }
 
     @Nested
-    inner class `An answer that no caller has fetched when its entry ends` {
+    inner class `An answer that no caller has received when its entry shuts down` {
         @Test
-        fun `is known to another entry, for a caller who asks and for one who sends the same id again`() =
-            local.test {
+        fun `is returned by another entry to a caller who asks for it or submits the same id again`() =
+            local.runTest {
                 val other = freeAddress()
-                val second = local.another("e2", other)
+                val second = local.startAnother("e2", other)
                 while (!second.isReady() || local.control.peers.size < 2) delay(5)
                 val body = WireJson.encodeToString(JobSubmission.serializer(), job())
                 val id = WireJson.decodeFromString(JobSubmission.serializer(), body).submission
@@ -96,6 +100,6 @@
     }
 
     private companion object {
-        const val CALLERS = 4
+        const val CALLER_COUNT = 4
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntrySeededTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntrySimulationTest.kt
@@ -11,7 +11,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class EntrySeededTest {
+/**
+ * Simulates entries, agents and control processes in virtual time with random faults, once for each seed.
+ *
+ * The system property `bluebellramp.seed` selects a single seed, and `bluebellramp.seeds` sets the number of seeds.
+ */
+class EntrySimulationTest {
     private val seeds: List<Int> =
         System
             .getProperty("bluebellramp.seed")
@@ -24,73 +29,73 @@
         println("seeds ${seeds.first()}..${seeds.last()}")
         seeds.forEach { seed ->
             try {
-                check(run(seed))
+                check(simulate(seed))
             } catch (e: Throwable) {
                 throw AssertionError("seed $seed: ${e.message}", e)
             }
         }
     }
 
-    private fun run(seed: Int): SimWorld {
+    private fun simulate(seed: Int): SimWorld {
         val world = SimWorld(seed)
-        repeat(ENTRIES) { world.entries += SimEntry(world, it, run = 0) }
+        repeat(ENTRY_COUNT) { world.entries += SimEntry(world, it, generation = 0) }
         world.entries.forEach { it.start() }
-        repeat(AGENTS) { world.agents += SimAgent(world, it, run = 0) }
-        world.at(50.milliseconds) { world.agents.forEach { it.start() } }
-        repeat(SUBMISSIONS) { world.at(100.milliseconds + world.millis(0, 6_000)) { call(world) } }
-        repeat(FAULTS) { world.at(world.millis(200, 7_000)) { fault(world) } }
-        world.run(8.seconds)
+        repeat(AGENT_COUNT) { world.agents += SimAgent(world, it, generation = 0) }
+        world.schedule(50.milliseconds) { world.agents.forEach { it.start() } }
+        repeat(SUBMISSION_COUNT) { world.schedule(100.milliseconds + world.randomMillis(0, 6_000)) { submitToEntries(world) } }
+        repeat(FAULT_COUNT) { world.schedule(world.randomMillis(200, 7_000)) { injectFault(world) } }
+        world.runUntil(8.seconds)
         world.faults = false
         world.control.hasLeader = true
         world.control.zonesOut = emptyList()
-        world.run(40.seconds) { world.openCalls == 0 && world.now > 9.seconds }
+        world.runUntil(40.seconds) { world.openCalls == 0 && world.now > 9.seconds }
         assertEquals(0, world.openCalls, "calls without a reply")
-        world.run(world.now + 3.seconds)
+        world.runUntil(world.now + 3.seconds)
         return world
     }
 
-    /** One submission to one entry or to several at once, now and then sent again or cancelled. */
-    private fun call(world: SimWorld) {
-        val new = world.newSubmission()
-        val copies = if (world.chance(0.3)) ENTRIES else 1
-        repeat(copies) { world.at(world.hop()) { live(world)?.submit(new) } }
-        if (world.chance(0.3)) world.at(world.millis(10, 4_000)) { live(world)?.submit(new) }
-        if (world.chance(0.2)) world.at(world.millis(1, 400)) { live(world)?.step { cancel(new.id, it) } }
+    /** Sends one submission to one or several entries at once, and sometimes sends it again or cancels it. */
+    private fun submitToEntries(world: SimWorld) {
+        val spec = world.newSubmission()
+        val copies = if (world.chance(0.3)) ENTRY_COUNT else 1
+        repeat(copies) { world.schedule(world.networkDelay()) { randomLiveEntry(world)?.submit(spec) } }
+        if (world.chance(0.3)) world.schedule(world.randomMillis(10, 4_000)) { randomLiveEntry(world)?.submit(spec) }
+        if (world.chance(0.2)) world.schedule(world.randomMillis(1, 400)) { randomLiveEntry(world)?.step { cancel(spec.id, it) } }
     }
 
-    private fun live(world: SimWorld) = world.entries.filter { it.isAlive }.randomOrNull(world.random)
+    private fun randomLiveEntry(world: SimWorld) = world.entries.filter { it.isAlive }.randomOrNull(world.random)
 
-    private fun fault(world: SimWorld) {
+    private fun injectFault(world: SimWorld) {
         when (world.random.nextInt(9)) {
             0 -> {
-                killEntry(world)
+                restartEntry(world)
             }
 
             1 -> {
-                live(world)?.let { it.frozenUntil = world.now + world.millis(100, 5_000) }
+                randomLiveEntry(world)?.let { it.frozenUntil = world.now + world.randomMillis(100, 5_000) }
             }
 
             2 -> {
-                live(world)?.let { it.isolatedUntil = world.now + world.millis(500, 9_000) }
+                randomLiveEntry(world)?.let { it.isolatedUntil = world.now + world.randomMillis(500, 9_000) }
             }
 
             3 -> {
-                killAgent(world)
+                restartAgent(world)
             }
 
             4, 5 -> {
                 world.agents
                     .filter { it.isAlive }
                     .random(world.random)
-                    .cutOne()
+                    .cutRandomLink()
             }
 
             6 -> {
-                leaderless(world)
+                removeLeader(world)
             }
 
             7 -> {
-                changeZones(world)
+                changeZonesOutOfService(world)
             }
 
             8 -> {
@@ -99,58 +104,58 @@
         }
     }
 
-    private fun killEntry(world: SimWorld) {
-        val entry = live(world) ?: return
-        val index = world.entries.indexOf(entry) % ENTRIES
+    private fun restartEntry(world: SimWorld) {
+        val entry = randomLiveEntry(world) ?: return
+        val index = world.entries.indexOf(entry) % ENTRY_COUNT
         entry.kill()
-        val next = SimEntry(world, index, run = world.entries.size)
-        world.at(world.millis(100, 2_000)) {
+        val next = SimEntry(world, index, generation = world.entries.size)
+        world.schedule(world.randomMillis(100, 2_000)) {
             world.entries += next
             next.start()
             world.agents.forEach { it.connect(next) }
         }
     }
 
-    private fun killAgent(world: SimWorld) {
-        val index = world.random.nextInt(AGENTS)
+    private fun restartAgent(world: SimWorld) {
+        val index = world.random.nextInt(AGENT_COUNT)
         world.agents[index].kill()
-        val next = SimAgent(world, index, run = world.random.nextInt(1_000_000))
+        val next = SimAgent(world, index, generation = world.random.nextInt(1_000_000))
         world.agents[index] = next
-        world.at(world.millis(100, 2_000)) { next.start() }
+        world.schedule(world.randomMillis(100, 2_000)) { next.start() }
     }
 
-    private fun leaderless(world: SimWorld) {
+    private fun removeLeader(world: SimWorld) {
         world.control.hasLeader = false
-        world.at(world.millis(200, 3_000)) { world.control.hasLeader = true }
+        world.schedule(world.randomMillis(200, 3_000)) { world.control.hasLeader = true }
     }
 
-    private fun changeZones(world: SimWorld) {
+    private fun changeZonesOutOfService(world: SimWorld) {
         world.control.revision = world.control.revision.next()
         world.control.zonesOut = if (world.chance(0.5)) listOf(ZoneId("z${world.random.nextInt(2)}")) else emptyList()
     }
 
-    private val SimWorld.answers get() = replies.mapNotNull { (id, reply) -> (reply as? Reply.Whole)?.let { id to it.answer } }
+    private val SimWorld.answers get() = replies.mapNotNull { (id, reply) -> (reply as? Reply.Answered)?.let { id to it.answer } }
 
     @Nested
-    inner class `Under faults` {
+    inner class `With injected faults` {
         @Test
-        fun `no task starts twice, each answer is whole and its own, and not run is true`() {
+        fun `no task starts twice, each answer belongs to its submission and is complete, and not run is true`() {
             var outcomes = emptyMap<AnswerOutcome, Int>()
             val decisions = HashMap<String, Int>()
             forEachSeed { world ->
                 checkStarts(world)
                 checkAnswers(world)
                 assertEquals(emptyList(), world.lateAnswers, "answers of an owner after a takeover")
-                outcomes = count(outcomes, world)
+                outcomes = addOutcomes(outcomes, world)
                 world.decisions.forEach { (kind, count) -> decisions.merge(kind, count, Int::plus) }
             }
             println("answers $outcomes, decisions $decisions")
-            if (seeds.size < ENOUGH_SEEDS) return
+            if (seeds.size < MIN_SEEDS_FOR_COVERAGE) return
             assertTrue(AnswerOutcome.entries.all { (outcomes[it] ?: 0) > 0 }, "every outcome occurs: $outcomes")
             assertTrue(listOf("join", "takeover", "disown").all { it in decisions }, "every decision occurs: $decisions")
         }
 
-        private fun count(
+        private fun addOutcomes(
             before: Map<AnswerOutcome, Int>,
             world: SimWorld,
         ): Map<AnswerOutcome, Int> {
@@ -164,7 +169,7 @@
         world.starts.forEach { (id, tasks) ->
             val isIdempotent = world.submissions.getValue(id).idempotent
             tasks.forEach { (task, count) -> if (count > 1 && !isIdempotent) fail("task $task of $id started $count times") }
-            assertEquals(1, world.starters.getValue(id).size, "entries that started $id")
+            assertEquals(1, world.startingEntries.getValue(id).size, "entries that started $id")
         }
     }
 
@@ -177,7 +182,7 @@
                 AnswerOutcome.COMPLETE -> {
                     val expected = submission.tasks.map { it.id to "$id/${it.payload}" }
                     assertEquals(expected, assertNotNull(answer.results).map { it.id to it.result })
-                    assertEquals<Set<Int>?>(submission.tasks.indices.toSet(), world.finished[id], "tasks that ended")
+                    assertEquals<Set<Int>?>(submission.tasks.indices.toSet(), world.finishedTasks[id], "tasks that ended")
                 }
 
                 AnswerOutcome.NOT_RUN -> {
@@ -192,10 +197,10 @@
     }
 
     private companion object {
-        const val ENOUGH_SEEDS = 500
-        const val ENTRIES = 3
-        const val AGENTS = 3
-        const val SUBMISSIONS = 20
-        const val FAULTS = 8
+        const val MIN_SEEDS_FOR_COVERAGE = 500
+        const val ENTRY_COUNT = 3
+        const val AGENT_COUNT = 3
+        const val SUBMISSION_COUNT = 20
+        const val FAULT_COUNT = 8
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/FakeAgent.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/FakeAgent.kt
@@ -33,7 +33,10 @@
 import java.io.IOException
 import java.util.concurrent.CopyOnWriteArrayList
 
-/** An agent with a target that answers each task with [run]. It grants its slots and grants each again after its task. */
+/**
+ * An agent whose target answers each task with [run]. It grants credits for its slots and connections, and each credit again after its
+ * task.
+ */
 internal class FakeAgent(
     private val entry: Address,
     private val name: String,
@@ -102,6 +105,6 @@
     }
 }
 
-/** The outcome of a task that ran to its end. */
+/** The outcome of a task that succeeded. */
 internal fun Dispatch.done(result: String = "done $payload") =
     TaskOutcome(submission = submission, task = task, attempt = attempt, status = TaskStatus.DONE, result = result, ranMicros = 1_000)
--- a/entry/src/test/kotlin/io/bluebellramp/entry/FakeControl.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/FakeControl.kt
@@ -27,18 +27,18 @@
 import java.net.ServerSocket
 import java.util.concurrent.ConcurrentHashMap
 
-/** Returns an address on loopback that nobody listens on. */
+/** Returns a loopback address with an unused port. */
 internal fun freeAddress() = Address("127.0.0.1:" + ServerSocket(0).use { it.localPort })
 
 /** The configuration of one service `desk` at one site. */
-internal const val BASE =
+internal const val BASE_CONFIGURATION =
     """{"services":{"desk":{"slots":4,"connections":8,"memoryMegabytes":1000}},"sites":{"vestland":{"zones":["bergen-a"]}}}"""
 
-/** A leader and the only voting member. */
+/** A control process that is the leader and the only voting member. */
 internal class FakeControl(
     val address: Address = freeAddress(),
 ) {
-    val held = ConcurrentHashMap<SubmissionId, HeldClaim>()
+    val claims = ConcurrentHashMap<SubmissionId, HeldClaim>()
     val peers = ConcurrentHashMap<String, EntryPeer>()
 
     @Volatile
@@ -77,7 +77,7 @@
             configuration =
                 ConfigurationView(
                     revision = REVISION,
-                    base = WireJson.decodeFromString(JsonObject.serializer(), BASE),
+                    base = WireJson.decodeFromString(JsonObject.serializer(), BASE_CONFIGURATION),
                     overlays = emptyMap(),
                     zonesOut = emptyList(),
                     targetsOut = emptyList(),
@@ -94,7 +94,7 @@
             verdicts =
                 request.claims.map { claim ->
                     val holder =
-                        held.compute(claim.submission) { _, now ->
+                        claims.compute(claim.submission) { _, now ->
                             if (now == null || now.holder.incarnation == claim.takeover) {
                                 HeldClaim(submission = claim.submission, digest = claim.digest, holder = request.holder)
                             } else {
@@ -112,8 +112,8 @@
 
     private fun release(release: ClaimRelease) =
         release.submissions.forEach { id ->
-            held.computeIfPresent(id) { _, held ->
-                held.takeIf {
+            claims.computeIfPresent(id) { _, claim ->
+                claim.takeIf {
                     it.holder.incarnation !=
                         release.incarnation
                 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/BadInputTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/InvalidInputTest.kt
@@ -29,11 +29,11 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-private const val DEPTH = 30_000
-private const val JOBS = "/v1/jobs"
-private const val REQUESTS = "/v1/requests"
+private const val NESTING_DEPTH = 30_000
+private const val JOBS_PATH = "/v1/jobs"
+private const val REQUESTS_PATH = "/v1/requests"
 
-class BadInputTest {
+class InvalidInputTest {
     private val local = LocalEntry()
     private val http = local.http
     private val address = local.address
@@ -45,21 +45,21 @@
         local.stop()
     }
 
-    /** A body that is refused, with its status, its code and the places that are named. */
+    /** An invalid body with the expected status, error code and paths of the violations. */
     private class Case(
         val name: String,
         val body: String,
         val status: Int,
         val code: ErrorCode,
         vararg val paths: String,
-        val to: String = JOBS,
+        val to: String = JOBS_PATH,
     )
 
     private fun case(
         name: String,
         body: String,
         vararg paths: String,
-        to: String = JOBS,
+        to: String = JOBS_PATH,
     ) = Case(name, body, 400, ErrorCode.INVALID_BODY, *paths, to = to)
 
     private fun id(ageSeconds: Long = 0) = SubmissionId.create(Instant.now().minusSeconds(ageSeconds)).value
@@ -79,35 +79,35 @@
         listOf(
             case("no body", "", "$"),
             case("not JSON", "{", "$"),
-            case("cut JSON", job().dropLast(3), "$"),
+            case("truncated JSON", job().dropLast(3), "$"),
             case("text after the JSON", job() + "}", "$"),
-            case("another kind of JSON", "[]", "$"),
-            case("JSON that is nested deeply", job(tasks = "[".repeat(DEPTH) + "]".repeat(DEPTH)), "$"),
+            case("JSON array in place of an object", "[]", "$"),
+            case("deeply nested JSON", job(tasks = "[".repeat(NESTING_DEPTH) + "]".repeat(NESTING_DEPTH)), "$"),
             case("unknown field", job(more = ""","urgent":true"""), "$"),
             case("unknown field of a task", job(tasks = """[{"id":"a","payload":"p","size":1}]"""), "$.tasks[0]"),
             case("missing service", """{"submission":"${id()}","tasks":${tasks(1)}}""", "$"),
             case("missing payload", job(tasks = """[{"id":"a"}]"""), "$.tasks[0]"),
-            case("wrong type of the tasks", job(tasks = """"many""""), "$.tasks"),
-            case("wrong type of a payload", job(tasks = """[{"id":"a","payload":{}}]"""), "$.tasks[0].payload"),
-            case("number in place of text", job(tasks = """[{"id":"a","payload":7}]"""), "$.tasks[0].payload"),
-            case("text in place of a number", job(more = ""","deadlineMillis":"1000""""), "$.deadlineMillis"),
+            case("string in place of the tasks", job(tasks = """"many""""), "$.tasks"),
+            case("object in place of a payload", job(tasks = """[{"id":"a","payload":{}}]"""), "$.tasks[0].payload"),
+            case("number in place of a string", job(tasks = """[{"id":"a","payload":7}]"""), "$.tasks[0].payload"),
+            case("string in place of a number", job(more = ""","deadlineMillis":"1000""""), "$.deadlineMillis"),
             case(
-                "number in quotes in a task",
+                "quoted number in a task",
                 job(tasks = """[{"id":"a","payload":"p","declaredMillis":"5"}]"""),
                 "$.tasks[0].declaredMillis",
             ),
-            case("truth value in quotes", job(more = ""","idempotent":"true""""), "$.idempotent"),
-            case("number that is too large", job(more = ""","deadlineMillis":99999999999999999999"""), "$.deadlineMillis"),
+            case("quoted boolean", job(more = ""","idempotent":"true""""), "$.idempotent"),
+            case("number out of range", job(more = ""","deadlineMillis":99999999999999999999"""), "$.deadlineMillis"),
             case("deadline of 0", job(more = ""","deadlineMillis":0"""), "$.deadlineMillis"),
             case("null in place of the service", """{"submission":"${id()}","service":null,"tasks":${tasks(1)}}""", "$.service"),
             case("empty job", job(tasks = "[]"), "$.tasks"),
             case("1,801 tasks", job(tasks = tasks(1_801)), "$.tasks"),
-            case("equal task ids", job(tasks = """[{"id":"a","payload":""},{"id":"a","payload":""}]"""), "$.tasks[1].id"),
-            case("payload that is too long", job(tasks = """[{"id":"a","payload":"${"x".repeat(65_537)}"}]"""), "$.tasks[0].payload"),
-            case("service of a wrong form", job(service = "De sk"), "$.service"),
-            case("request without a payload", request(""), "$", to = REQUESTS),
-            case("request with tasks", request(""","payload":"p","tasks":[]"""), "$", to = REQUESTS),
-            Case("id of a wrong form", job(id = "7"), 400, ErrorCode.INVALID_SUBMISSION, "$.submission"),
+            case("duplicate task ids", job(tasks = """[{"id":"a","payload":""},{"id":"a","payload":""}]"""), "$.tasks[1].id"),
+            case("payload over the limit", job(tasks = """[{"id":"a","payload":"${"x".repeat(65_537)}"}]"""), "$.tasks[0].payload"),
+            case("malformed service", job(service = "De sk"), "$.service"),
+            case("request without a payload", request(""), "$", to = REQUESTS_PATH),
+            case("request with tasks", request(""","payload":"p","tasks":[]"""), "$", to = REQUESTS_PATH),
+            Case("malformed id", job(id = "7"), 400, ErrorCode.INVALID_SUBMISSION, "$.submission"),
             Case(
                 "id of UUID version 4",
                 job(id = "0f8fad5b-d9cb-469f-a165-70867728950e"),
@@ -115,8 +115,8 @@
                 ErrorCode.INVALID_SUBMISSION,
                 "$.submission",
             ),
-            Case("id of the future", job(id = id(ageSeconds = -70)), 400, ErrorCode.INVALID_SUBMISSION, "$.submission"),
-            Case("id that is too old", job(id = id(ageSeconds = 601)), 410, ErrorCode.EXPIRED_SUBMISSION, "$.submission"),
+            Case("id with a time in the future", job(id = id(ageSeconds = -70)), 400, ErrorCode.INVALID_SUBMISSION, "$.submission"),
+            Case("expired id", job(id = id(ageSeconds = 601)), 410, ErrorCode.EXPIRED_SUBMISSION, "$.submission"),
             Case("unknown service", job(service = "nobody"), 404, ErrorCode.UNKNOWN_SERVICE, "$.service"),
             Case(
                 "task that fits no executor",
@@ -125,25 +125,25 @@
                 ErrorCode.NEVER_RUNNABLE,
                 "$.tasks[0].declaredMegabytes",
             ),
-            Case("body over the limit", " ".repeat(BODY_BYTES + 1), 413, ErrorCode.BODY_TOO_LARGE, "$"),
+            Case("body over the limit", " ".repeat(MAX_BODY_BYTES + 1), 413, ErrorCode.BODY_TOO_LARGE, "$"),
         )
 
-    private fun test(block: suspend () -> Unit) = local.test { block() }
+    private fun runTest(block: suspend () -> Unit) = local.runTest { block() }
 
     private fun error(text: String) = WireJson.decodeFromString(ErrorBody.serializer(), text)
 
-    /** The entry started nothing so far, and it is well: the next job is complete. */
-    private suspend fun assertNothingRanAndIsWell() {
+    /** Asserts that the entry started nothing so far and still works: the next job completes. */
+    private suspend fun assertNothingStartedAndNextJobCompletes() {
         assertEquals(0, agent.frames.sumOf { it.dispatches.size })
-        val answer = WireJson.decodeFromString(Answer.serializer(), http.post("http://$address$JOBS") { setBody(job()) }.bodyAsText())
+        val answer = WireJson.decodeFromString(Answer.serializer(), http.post("http://$address$JOBS_PATH") { setBody(job()) }.bodyAsText())
         assertEquals(AnswerOutcome.COMPLETE, answer.outcome)
     }
 
     @Nested
-    inner class `A body that can't be run` {
+    inner class `An invalid body` {
         @Test
-        fun `is refused with a clear 4xx and the place, and nothing runs`() =
-            test {
+        fun `is refused with a 4xx status and the paths of its violations, and nothing runs`() =
+            runTest {
                 for (case in cases) {
                     val response = http.post("http://$address${case.to}") { setBody(case.body) }
                     val text = response.bodyAsText()
@@ -151,14 +151,14 @@
                     assertEquals(case.code, error(text).code, case.name)
                     assertEquals(case.paths.toSet(), error(text).violations.map { it.path }.toSet(), "${case.name}: $text")
                 }
-                assertNothingRanAndIsWell()
+                assertNothingStartedAndNextJobCompletes()
             }
 
         @Test
-        fun `has every violation named with its path`() =
-            test {
+        fun `gets every violation reported with its path`() =
+            runTest {
                 val body = """{"submission":"x","service":"desk","tasks":[{"id":""}],"deadlineMillis":0}"""
-                val error = error(http.post("http://$address$JOBS") { setBody(body) }.bodyAsText())
+                val error = error(http.post("http://$address$JOBS_PATH") { setBody(body) }.bodyAsText())
                 assertEquals(
                     setOf("$.submission", "$.tasks[0].id", "$.tasks[0]", "$.deadlineMillis"),
                     error.violations.map { it.path }.toSet(),
@@ -166,21 +166,21 @@
             }
 
         @Test
-        fun `is refused when it says no length and is over the limit`() =
-            test {
-                val endless =
+        fun `is refused if it has no Content-Length and exceeds the limit`() =
+            runTest {
+                val oversizedContent =
                     object : OutgoingContent.WriteChannelContent() {
                         override suspend fun writeTo(channel: ByteWriteChannel) =
-                            repeat(BODY_BYTES / 1_000 + 1) { channel.writeFully(ByteArray(1_000) { ' '.code.toByte() }) }
+                            repeat(MAX_BODY_BYTES / 1_000 + 1) { channel.writeFully(ByteArray(1_000) { ' '.code.toByte() }) }
                     }
-                val response = http.post("http://$address$JOBS") { setBody(endless) }
+                val response = http.post("http://$address$JOBS_PATH") { setBody(oversizedContent) }
                 assertEquals(413 to ErrorCode.BODY_TOO_LARGE, response.status.value to error(response.bodyAsText()).code)
-                assertNothingRanAndIsWell()
+                assertNothingStartedAndNextJobCompletes()
             }
     }
 
     @Nested
-    inner class `Bytes that are no whole request` {
+    inner class `An incomplete or malformed HTTP request` {
         private fun send(
             text: String,
             read: Boolean = false,
@@ -193,30 +193,30 @@
         private fun post(
             length: Int,
             body: String,
-        ) = "POST $JOBS HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: $length\r\n\r\n$body"
+        ) = "POST $JOBS_PATH HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: $length\r\n\r\n$body"
 
         @Test
-        fun `run nothing when the connection ends within the body`() =
-            test {
+        fun `runs nothing if the connection closes within the body`() =
+            runTest {
                 val body = job()
                 repeat(20) { send(post(body.length, body.dropLast(1 + it))) }
-                assertNothingRanAndIsWell()
+                assertNothingStartedAndNextJobCompletes()
             }
 
         @Test
-        fun `are refused when the body is not UTF-8`() =
-            test {
+        fun `is refused if its body is not UTF-8`() =
+            runTest {
                 val text = send(post(2, "\u00ff\u00fe"), read = true)
                 assertTrue(text.startsWith("HTTP/1.1 400 ") && "invalid_body" in text, text)
-                assertNothingRanAndIsWell()
+                assertNothingStartedAndNextJobCompletes()
             }
 
         @Test
-        fun `are refused when they are no HTTP`() =
-            test {
+        fun `is refused if it is not HTTP`() =
+            runTest {
                 val text = send("\u0001\u0002\u0003 nonsense\r\n\r\n", read = true)
                 assertTrue(text.startsWith("HTTP/1.") && " 400 " in text.lines().first(), text)
-                assertNothingRanAndIsWell()
+                assertNothingStartedAndNextJobCompletes()
             }
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/LocalEntry.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/LocalEntry.kt
@@ -17,10 +17,10 @@
 import java.time.Instant
 import kotlin.time.Duration.Companion.seconds
 
-/** Largest body that a [LocalEntry] takes (bytes). */
-internal const val BODY_BYTES = 100_000
+/** Largest request body that a [LocalEntry] accepts. */
+internal const val MAX_BODY_BYTES = 100_000
 
-/** Runs entry processes on loopback with one [FakeControl], and ends them all. */
+/** Runs entries on loopback addresses with one [FakeControl], and stops them all. */
 internal class LocalEntry(
     drainMillis: Long = 0,
     private val budget: MemoryBudget = MemoryBudget(),
@@ -28,11 +28,11 @@
     val control = FakeControl()
     val address = freeAddress()
     val http = httpLink()
-    val entry = program("e1", address, drainMillis).start()
-    private val others = ArrayList<EntryProgram>()
-    private var hasStopped = false
+    val entry = newEntry("e1", address, drainMillis).start()
+    private val otherEntries = ArrayList<EntryProgram>()
+    private var isEntryStopped = false
 
-    private fun program(
+    private fun newEntry(
         name: String,
         address: Address,
         drainMillis: Long = 0,
@@ -44,19 +44,19 @@
             listen = address,
             controls = listOf(freeAddress(), control.address),
             drainMillis = drainMillis,
-            bodyBytes = BODY_BYTES.toLong(),
+            bodyBytes = MAX_BODY_BYTES.toLong(),
         ),
         budget = budget,
     )
 
-    /** Starts one more entry at [address]. */
-    fun another(
+    /** Starts another entry at [address]. */
+    fun startAnother(
         name: String,
         address: Address,
-    ): EntryProgram = program(name, address).start().also { others += it }
+    ): EntryProgram = newEntry(name, address).start().also { otherEntries += it }
 
     /** Runs [block] once the entry is ready. */
-    fun test(block: suspend CoroutineScope.() -> Unit) =
+    fun runTest(block: suspend CoroutineScope.() -> Unit) =
         runBlocking {
             withTimeout(30.seconds) {
                 while (!entry.isReady()) delay(5)
@@ -66,13 +66,13 @@
 
     /** Shuts the first entry down. */
     fun stopEntry() {
-        hasStopped = true
+        isEntryStopped = true
         entry.stop()
     }
 
     fun stop() {
-        if (!hasStopped) entry.stop()
-        others.forEach { it.stop() }
+        if (!isEntryStopped) entry.stop()
+        otherEntries.forEach { it.stop() }
         control.stop()
         http.close()
     }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/OverloadTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/OverloadTest.kt
@@ -33,19 +33,19 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.seconds
 
-private const val PAYLOAD = 20_000
-private const val CALLS = 200
+private const val PAYLOAD_LENGTH = 20_000
+private const val CALL_COUNT = 200
 
-/** An entry whose memory for calls is used up. */
+/** The behaviour of an entry whose [MemoryBudget] is used up. */
 class OverloadTest {
-    private val budget = MemoryBudget(most = 500_000)
+    private val budget = MemoryBudget(maxBytes = 500_000)
     private val local = LocalEntry(budget = budget)
     private val http = local.http
     private val address = local.address
-    private val go = CompletableDeferred<Unit>()
+    private val mayFinish = CompletableDeferred<Unit>()
     private val agent =
         FakeAgent(address, "a1") {
-            go.await()
+            mayFinish.await()
             it.done("ok")
         }.start()
 
@@ -59,7 +59,7 @@
         JobSubmission(
             submission = SubmissionId.create(Instant.now()),
             service = ServiceId("desk"),
-            tasks = listOf(TaskSpecification(id = "t", payload = "p".repeat(PAYLOAD))),
+            tasks = listOf(TaskSpecification(id = "t", payload = "p".repeat(PAYLOAD_LENGTH))),
         )
 
     private suspend fun post(
@@ -70,13 +70,13 @@
     @Nested
     inner class `An entry without memory for more calls` {
         @Test
-        fun `refuses them with nothing started or claimed, and answers those that it accepted`() =
-            local.test {
-                val calls = List(CALLS) { job() }.map { job -> async { job to post(job) } }
+        fun `refuses them without starting or claiming anything, and answers the accepted ones`() =
+            local.runTest {
+                val calls = List(CALL_COUNT) { job() }.map { job -> async { job to post(job) } }
                 while (calls.count { it.isCompleted } == 0) delay(5)
-                val opened = launch { while (calls.count { it.isActive } > CALLS / 2) delay(5) }
-                opened.join()
-                go.complete(Unit)
+                val halfAnswered = launch { while (calls.count { it.isActive } > CALL_COUNT / 2) delay(5) }
+                halfAnswered.join()
+                mayFinish.complete(Unit)
                 val (answered, refused) = calls.awaitAll().partition { (_, response) -> response.status.value == 200 }
                 assertTrue(answered.isNotEmpty() && refused.isNotEmpty())
                 answered.forEach { (job, response) ->
@@ -89,15 +89,15 @@
                     assertTrue(agent.frames.none { frame -> frame.dispatches.any { it.submission == job.submission } })
                 }
                 assertEquals(200, post(refused.first().first).status.value, "the same id again, on a kept connection")
-                while (budget.used > 0) delay(5)
+                while (budget.usedBytes > 0) delay(5)
             }
 
         @Test
-        fun `refuses calls as long as submissions hold it that nobody waits for`() =
-            local.test {
+        fun `refuses calls while submissions use the memory, even if no caller waits for them`() =
+            local.runTest {
                 val statuses = List(40) { post(job(), "?wait=0").status.value }
                 assertEquals(setOf(202, 503), statuses.toSet())
-                go.complete(Unit)
+                mayFinish.complete(Unit)
                 while (post(job()).status.value != 200) delay(5)
             }
     }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/SimControl.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/SimControl.kt
@@ -22,26 +22,26 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Three claim holders and a leader that grants leases. */
+/** Simulated control processes: three voting members and a leader that grants leases. */
 internal class SimControl(
     private val world: SimWorld,
 ) {
-    /** One voting member. A restarted one has forgotten and abstains. */
+    /** A voting member. One that was restarted has lost its claims and abstains. */
     class Member {
-        private val held = HashMap<SubmissionId, Pair<ClaimHolder, String>>()
+        private val claims = HashMap<SubmissionId, Pair<ClaimHolder, String>>()
         var abstains = false
 
-        fun judge(
+        fun vote(
             claim: Claim,
             holder: ClaimHolder,
         ): ClaimVerdict? {
             if (abstains) return null
-            val now = held[claim.submission]
-            val isFree = now == null || now.first.incarnation == holder.incarnation
-            val isTaken = now != null && now.first.incarnation == claim.takeover
-            if (now != null && now.second != claim.digest) return ClaimVerdict(granted = false, holder = now.first, digest = now.second)
-            if (!isFree && !isTaken) return ClaimVerdict(granted = false, holder = now.first, digest = now.second)
-            held[claim.submission] = holder to claim.digest
+            val held = claims[claim.submission]
+            val isFreeOrOwn = held == null || held.first.incarnation == holder.incarnation
+            val isTakeover = held != null && held.first.incarnation == claim.takeover
+            if (held != null && held.second != claim.digest) return ClaimVerdict(granted = false, holder = held.first, digest = held.second)
+            if (!isFreeOrOwn && !isTakeover) return ClaimVerdict(granted = false, holder = held.first, digest = held.second)
+            claims[claim.submission] = holder to claim.digest
             return ClaimVerdict(granted = true)
         }
 
@@ -49,12 +49,12 @@
             id: SubmissionId,
             incarnation: IncarnationId,
         ) {
-            if (held[id]?.first?.incarnation == incarnation) held.remove(id)
+            if (claims[id]?.first?.incarnation == incarnation) claims.remove(id)
         }
     }
 
     val members = List(3) { Member() }
-    private val heard = LinkedHashMap<EntryPeer, Duration>()
+    private val lastSeen = LinkedHashMap<EntryPeer, Duration>()
     var revision = Revision(1)
     var zonesOut = emptyList<ZoneId>()
     var hasLeader = true
@@ -62,7 +62,7 @@
     fun lease(request: LeaseRequest): LeaseResponse {
         if (!hasLeader) return LeaseResponse(granted = false)
         val peer = EntryPeer(request.entry, request.incarnation, request.address, request.site)
-        if (!request.leaving) heard[peer] = world.now
+        if (!request.leaving) lastSeen[peer] = world.now
         return LeaseResponse(
             granted = true,
             lifeMillis = 2_000,
@@ -75,7 +75,7 @@
                     zonesOut = zonesOut,
                     targetsOut = emptyList(),
                 ),
-            entries = heard.filterValues { world.now - it < 3.seconds }.keys.toList(),
+            entries = lastSeen.filterValues { world.now - it < 3.seconds }.keys.toList(),
             members = ClaimMembers(1, List(3) { MemberAddress(MemberId("m$it"), Address("127.0.0.1:$it")) }),
         )
     }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/SimEntry.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/SimEntry.kt
@@ -14,21 +14,21 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** One run of an entry: the core, and its shell over a network that loses and delays. */
+/** One incarnation of a simulated entry: an [EntryCore] whose actions go over a network that loses and delays messages. */
 internal class SimEntry(
     val world: SimWorld,
     private val index: Int,
-    run: Int,
+    generation: Int,
 ) {
     val identity =
         EntryIdentity(
             entry = EntryId("e$index"),
-            incarnation = IncarnationId("${world.random.nextInt(100, 1_000)}-$index-$run"),
+            incarnation = IncarnationId("${world.random.nextInt(100, 1_000)}-$index-$generation"),
             address = Address("127.0.0.1:$index"),
             site = SiteId("vestland"),
             zone = ZoneId("z$index"),
         )
-    val core = EntryCore(identity, queuedTasks = 60)
+    val core = EntryCore(identity, maxQueuedTasks = 60)
     val links = HashMap<LinkId, SimLink>()
     var isAlive = true
     var frozenUntil = Duration.ZERO
@@ -39,63 +39,63 @@
 
     fun start() {
         tick()
-        lease()
+        requestLease()
     }
 
-    /** Runs [block] now, or when the process thaws, unless it is dead. */
+    /** Runs [block] now, or once the process is no longer frozen. Does nothing if the process is dead. */
     fun step(block: EntryCore.(Duration) -> Unit) {
         if (!isAlive) return
-        if (world.now < frozenUntil) return world.at(frozenUntil - world.now) { step(block) }
+        if (world.now < frozenUntil) return world.schedule(frozenUntil - world.now) { step(block) }
         core.block(world.now)
-        core.take().forEach(::carryOut)
+        core.takeActions().forEach(::execute)
     }
 
     private fun tick() {
         if (!isAlive) return
         step { tick(it) }
-        world.at(20.milliseconds, ::tick)
+        world.schedule(20.milliseconds, ::tick)
     }
 
-    private fun lease() {
+    private fun requestLease() {
         if (!isAlive) return
         step { now ->
             val request = leaseRequest(waitMillis = 0, leaving = false, now = now)
             world.agents.forEach { agent ->
                 assertTrue(
-                    agent.alivePermits(identity.incarnation).all { it >= request.oldestPermit },
+                    agent.livePermitRevisions(identity.incarnation).all { it >= request.oldestPermit },
                     "a permit below oldestPermit is alive",
                 )
             }
             if (!isIsolated) {
-                world.at(world.hop()) {
+                world.schedule(world.networkDelay()) {
                     val response = world.control.lease(request)
-                    if (!isIsolated) world.at(world.hop()) { step { renewed(response, now, it) } }
+                    if (!isIsolated) world.schedule(world.networkDelay()) { step { onLeaseResponse(response, now, it) } }
                 }
             }
         }
-        world.at(250.milliseconds, ::lease)
+        world.schedule(250.milliseconds, ::requestLease)
     }
 
-    fun submit(new: NewSubmission) {
+    fun submit(spec: SubmissionSpec) {
         step { now ->
             world.openCalls++
-            val reply = submit(new, now)
-            val done: (Reply) -> Unit = {
+            val reply = submit(spec, now)
+            val onReply: (Reply) -> Unit = {
                 world.openCalls--
-                world.replies += new.id to it
+                world.replies += spec.id to it
             }
-            if (reply != null) done(reply) else await(new.id, done)
+            if (reply != null) onReply(reply) else awaitReply(spec.id, onReply)
         }
     }
 
-    private fun await(
+    private fun awaitReply(
         id: SubmissionId,
-        done: (Reply) -> Unit,
+        onReply: (Reply) -> Unit,
     ) {
-        waiters.getOrPut(id) { ArrayList() } += done
+        waiters.getOrPut(id) { ArrayList() } += onReply
     }
 
-    /** Kills the process. Its callers see a broken connection. */
+    /** Kills the process. Its callers lose their connection. */
     fun kill() {
         isAlive = false
         world.openCalls -= waiters.values.sumOf { it.size } - peerCalls
@@ -104,24 +104,24 @@
 
     private var peerCalls = 0
 
-    private fun carryOut(action: Action) {
-        world.decided(this, action)
+    private fun execute(action: Action) {
+        world.recordAction(this, action)
         when (action) {
             is Action.Claim -> {
                 claim(Claim(action.submission, action.digest, action.takeover), tries = 6)
             }
 
             is Action.Release -> {
-                world.control.members.forEach { m -> reach { m.release(action.submission, identity.incarnation) } }
+                world.control.members.forEach { m -> sendToMember { m.release(action.submission, identity.incarnation) } }
             }
 
-            is Action.Follow -> {
-                follow(action.submission, action.owner)
+            is Action.QueryOwner -> {
+                queryOwner(action.submission, action.owner)
             }
 
             is Action.CancelAtOwner -> {
-                entry(action.owner)?.let { owner ->
-                    world.at(world.hop()) { owner.step { cancel(action.submission, it) } }
+                liveEntry(action.owner)?.let { owner ->
+                    world.schedule(world.networkDelay()) { owner.step { cancel(action.submission, it) } }
                 }
             }
 
@@ -129,9 +129,9 @@
                 waiters.remove(action.submission)?.forEach { it(action.reply) }
             }
 
-            is Action.Wake -> {
+            is Action.Flush -> {
                 links[action.link]?.let { link ->
-                    world.at(Duration.ZERO) { step { now -> drain(action.link, now)?.let(link::toAgent) } }
+                    world.schedule(Duration.ZERO) { step { now -> takeFrame(action.link, now)?.let(link::sendToAgent) } }
                 }
             }
 
@@ -143,8 +143,8 @@
         }
     }
 
-    private fun reach(block: () -> Unit) {
-        if (!isIsolated && !(world.faults && world.chance(0.05))) world.at(world.hop(), block)
+    private fun sendToMember(block: () -> Unit) {
+        if (!isIsolated && !(world.faults && world.chance(0.05))) world.schedule(world.networkDelay(), block)
     }
 
     private fun claim(
@@ -153,82 +153,82 @@
     ) {
         val tally = ClaimTally(3, identity.incarnation)
         val sent = world.now
-        var decided = false
+        var isDecided = false
 
-        fun verdict(verdict: ClaimVerdict?) =
+        fun addVerdict(verdict: ClaimVerdict?) =
             step { now ->
                 tally.add(verdict.takeIf { now - sent < 1.seconds })
                 val result = tally.result()
-                if (result != null && !decided) {
-                    decided = true
-                    val isLost = result.isOpen
-                    if (isLost &&
+                if (result != null && !isDecided) {
+                    isDecided = true
+                    val mayRetry = result.isRetryable
+                    if (mayRetry &&
                         tries > 1
                     ) {
-                        world.at(30.milliseconds) { claim(claim, tries - 1) }
+                        world.schedule(30.milliseconds) { claim(claim, tries - 1) }
                     } else {
-                        claimed(claim.submission, result, now)
+                        onClaimResult(claim.submission, result, now)
                     }
                 }
             }
         world.control.members.forEach { member ->
-            var answered = false
+            var hasReplied = false
 
-            fun once(verdict: ClaimVerdict?) {
-                if (!answered) verdict(verdict)
-                answered = true
+            fun replyOnce(verdict: ClaimVerdict?) {
+                if (!hasReplied) addVerdict(verdict)
+                hasReplied = true
             }
-            world.at(400.milliseconds) { once(null) }
-            reach {
-                val verdict = member.judge(claim, identity.holder)
-                reach { once(verdict) }
+            world.schedule(400.milliseconds) { replyOnce(null) }
+            sendToMember {
+                val verdict = member.vote(claim, identity.holder)
+                sendToMember { replyOnce(verdict) }
             }
-            if (world.faults && world.chance(0.02)) reach { member.judge(claim, identity.holder) }
+            if (world.faults && world.chance(0.02)) sendToMember { member.vote(claim, identity.holder) }
         }
     }
 
-    private fun entry(owner: ClaimHolder) = world.entries.lastOrNull { it.isAlive && it.identity.address == owner.address }
+    private fun liveEntry(owner: ClaimHolder) = world.entries.lastOrNull { it.isAlive && it.identity.address == owner.address }
 
-    private fun follow(
+    private fun queryOwner(
         id: SubmissionId,
         owner: ClaimHolder,
     ) {
-        var answered = false
+        var hasReplied = false
 
-        fun once(result: FollowResult) {
-            if (answered) return
-            answered = true
-            val pause = if (result is FollowResult.Answered) Duration.ZERO else 50.milliseconds
-            world.at(pause) { step { followed(id, result, it) } }
+        fun replyOnce(result: OwnerReply) {
+            if (hasReplied) return
+            hasReplied = true
+            val pause = if (result is OwnerReply.Answered) Duration.ZERO else 50.milliseconds
+            world.schedule(pause) { step { onOwnerReply(id, result, it) } }
         }
-        world.at(1_500.milliseconds) { once(FollowResult.NoAnswer) }
-        val peer = entry(owner)?.takeIf { it.identity.incarnation == owner.incarnation } ?: return
-        world.at(world.hop()) {
+        world.schedule(1_500.milliseconds) { replyOnce(OwnerReply.NoAnswer) }
+        val peer = liveEntry(owner)?.takeIf { it.identity.incarnation == owner.incarnation } ?: return
+        world.schedule(world.networkDelay()) {
             peer.step {
                 val found = lookup(id)
                 when {
-                    found == Lookup.Unknown -> {
+                    found == LookupResult.Unknown -> {
                         releaseUnknown(id)
-                        once(FollowResult.NotOwner)
+                        replyOnce(OwnerReply.NotOwner)
                     }
 
-                    found is Lookup.Answered -> {
-                        world.at(world.hop()) { once(FollowResult.Answered(found.answer)) }
+                    found is LookupResult.Answered -> {
+                        world.schedule(world.networkDelay()) { replyOnce(OwnerReply.Answered(found.answer)) }
                     }
 
-                    found is Lookup.Lost -> {
-                        world.at(world.hop()) { once(FollowResult.Answered(found.answer)) }
+                    found is LookupResult.Lost -> {
+                        world.schedule(world.networkDelay()) { replyOnce(OwnerReply.Answered(found.answer)) }
                     }
 
-                    (found as Lookup.Pending).isFollowing -> {
-                        once(FollowResult.NotOwner)
+                    (found as LookupResult.Pending).isRemote -> {
+                        replyOnce(OwnerReply.NotOwner)
                     }
 
                     else -> {
                         peer.peerCalls++
-                        peer.await(id) {
+                        peer.awaitReply(id) {
                             peer.peerCalls--
-                            once(if (it is Reply.Whole) FollowResult.Answered(it.answer) else FollowResult.NotOwner)
+                            replyOnce(if (it is Reply.Answered) OwnerReply.Answered(it.answer) else OwnerReply.NotOwner)
                         }
                     }
                 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/SimWorld.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/SimWorld.kt
@@ -11,7 +11,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Virtual time, a seeded source of faults, and the record of what happened. */
+/** A simulation with virtual time, faults from a seeded random source, and a record of what happened. */
 internal class SimWorld(
     seed: Int,
 ) {
@@ -29,10 +29,10 @@
     val control = SimControl(this)
     val entries = ArrayList<SimEntry>()
     val agents = ArrayList<SimAgent>()
-    val submissions = LinkedHashMap<SubmissionId, NewSubmission>()
+    val submissions = LinkedHashMap<SubmissionId, SubmissionSpec>()
     val starts = HashMap<SubmissionId, HashMap<Int, Int>>()
-    val finished = HashMap<SubmissionId, HashSet<Int>>()
-    val starters = HashMap<SubmissionId, HashSet<String>>()
+    val finishedTasks = HashMap<SubmissionId, HashSet<Int>>()
+    val startingEntries = HashMap<SubmissionId, HashSet<String>>()
     val decisions = HashMap<String, Int>()
     private val takeovers = HashMap<SubmissionId, Duration>()
     private val owners = HashMap<SubmissionId, SimEntry>()
@@ -41,7 +41,7 @@
     var openCalls = 0
     var faults = true
 
-    fun at(
+    fun schedule(
         delay: Duration,
         run: () -> Unit,
     ) {
@@ -50,15 +50,15 @@
 
     fun chance(share: Double) = random.nextDouble() < share
 
-    fun millis(
+    fun randomMillis(
         from: Int,
         until: Int,
     ) = random.nextInt(from, until).milliseconds
 
-    /** Mostly short, now and then long. */
-    fun hop(): Duration = if (faults && chance(0.03)) millis(50, 1_500) else random.nextInt(100, 3_000).milliseconds / 1_000
+    /** Returns a random delay, which is sometimes very long while faults are injected. */
+    fun networkDelay(): Duration = if (faults && chance(0.03)) randomMillis(50, 1_500) else random.nextInt(100, 3_000).milliseconds / 1_000
 
-    fun run(
+    fun runUntil(
         until: Duration,
         stop: () -> Boolean = { false },
     ) {
@@ -70,12 +70,12 @@
         if (!stop()) now = until
     }
 
-    fun newSubmission(): NewSubmission {
+    fun newSubmission(): SubmissionSpec {
         val id = SubmissionId.create(Instant.EPOCH.plusMillis(now.inWholeMilliseconds), random.nextLong(), random.nextLong())
         val isRequest = chance(0.2)
         val size = if (isRequest) 1 else random.nextInt(1, 9)
         val submission =
-            NewSubmission(
+            SubmissionSpec(
                 id = id,
                 digest = "digest $id",
                 service = SimControl.SERVICE,
@@ -89,33 +89,33 @@
         return submission
     }
 
-    fun started(
+    fun recordStart(
         id: SubmissionId,
         task: Int,
         entry: String,
     ) {
         starts.getOrPut(id) { HashMap() }.merge(task, 1, Int::plus)
-        starters.getOrPut(id) { HashSet() } += entry
+        startingEntries.getOrPut(id) { HashSet() } += entry
     }
 
-    /** Notes what [entry] decided, and an answer of an owner that came well after another entry took the submission over. */
-    fun decided(
+    /** Records the decisions of [entry], and an answer that it gives as the owner well after another entry took the submission over. */
+    fun recordAction(
         entry: SimEntry,
         action: Action,
     ) {
-        if (action is Action.LogRouting) {
+        if (action is Action.LogSubmissionDecision) {
             decisions.merge(action.kind, 1, Int::plus)
             if (action.kind == "takeover") takeovers.putIfAbsent(action.submission, now)
             if (action.kind == "admit") owners[action.submission] = entry
         }
         if (action !is Action.Deliver || owners[action.submission] !== entry) return
-        val taken = takeovers[action.submission] ?: return
-        val outcome = (action.reply as? Reply.Whole)?.answer?.outcome
-        if (outcome != AnswerOutcome.FAILED && now > taken + NEWS_AGE) lateAnswers += action.submission
+        val takenOverAt = takeovers[action.submission] ?: return
+        val outcome = (action.reply as? Reply.Answered)?.answer?.outcome
+        if (outcome != AnswerOutcome.FAILED && now > takenOverAt + MAX_PEER_LIST_AGE) lateAnswers += action.submission
     }
 
     private companion object {
-        /** Age that the list of live entries may have when an entry decides to take over. */
-        val NEWS_AGE = 2.seconds
+        /** Greatest age of the list of live entries by which an entry decides to take over. */
+        val MAX_PEER_LIST_AGE = 2.seconds
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/SubmissionTableTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/SubmissionTableTest.kt
@@ -14,14 +14,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 class SubmissionTableTest {
-    private val budget = MemoryBudget(most = 10_000)
-    private val table = SubmissionTable(Counters(), ActionSink(), budget)
-    private var ids = 0L
+    private val budget = MemoryBudget(maxBytes = 10_000)
+    private val table = SubmissionTable(EntryCounters(), ActionBuffer(), budget)
+    private var lastId = 0L
 
     private fun submission(deadline: Duration): Submission {
-        val new =
-            NewSubmission(
-                id = SubmissionId.create(Instant.EPOCH, ++ids, ids),
+        val spec =
+            SubmissionSpec(
+                id = SubmissionId.create(Instant.EPOCH, ++lastId, lastId),
                 service = ServiceId("desk"),
                 kind = DispatchKind.TASK,
                 tasks = listOf(TaskSpecification(id = "t", payload = "p")),
@@ -30,31 +30,31 @@
                 deadlineMillis = null,
                 idempotent = false,
             )
-        return Submission(new, arrived = Duration.ZERO, deadline = deadline, budget = budget).also(table::add)
+        return Submission(spec, arrived = Duration.ZERO, deadline = deadline, budget = budget).also(table::add)
     }
 
     @Nested
     inner class `A submission` {
         @Test
-        fun `is taken once at its deadline, the earliest first`() {
+        fun `is returned once at its deadline, the earliest first`() {
             val later = submission(2.seconds)
             val sooner = submission(1.seconds)
             table.now = 1.seconds
-            assertEquals(sooner, table.takeDue())
-            assertNull(table.takeDue())
+            assertEquals(sooner, table.takeExpired())
+            assertNull(table.takeExpired())
             table.now = 2.seconds
-            assertEquals(listOf(later, null), List(2) { table.takeDue() })
+            assertEquals(listOf(later, null), List(2) { table.takeExpired() })
         }
 
         @Test
-        fun `is not held until its deadline once it has its answer or is refused`() {
+        fun `is not kept until its deadline once it is answered or refused`() {
             val answered = submission(1.seconds)
             val refused = submission(1.seconds)
-            table.deliver(answered, table.lost(answered, "gone"))
+            table.deliver(answered, table.lostAnswer(answered, "gone"))
             table.refuse(refused, ErrorCode.NOT_READY, "no lease")
             table.now = 9.seconds
-            assertNull(table.takeDue())
-            assertEquals(0L to 0, budget.used to table.size)
+            assertNull(table.takeExpired())
+            assertEquals(0L to 0, budget.usedBytes to table.size)
         }
     }
 }
