--- a/replication/src/benchmark/kotlin/io/bluebellramp/replication/CommitLatency.kt
+++ b/replication/src/benchmark/kotlin/io/bluebellramp/replication/CommitLatency.kt
@@ -15,63 +15,66 @@
 
 private const val COMMAND_CHARACTERS = 300
 private const val NANOS_PER_SECOND = 1_000_000_000L
-private const val ALONE_SYNCS = 300
+private const val BASELINE_SYNCS = 300
 
-/** Measures commits of three members with files in one process. Arguments: a new folder, changes a second, seconds. */
+/**
+ * Measures the commit latency of three members in one process that store their logs in files. Arguments: a new folder, commits per
+ * second, and the duration in seconds.
+ */
 fun main(args: Array<String>) =
     runBlocking {
         val root = Files.createDirectories(Path.of(args[0]))
-        val rate = args[1].toInt()
+        val commitsPerSecond = args[1].toInt()
         val seconds = args[2].toInt()
-        report("sync alone", syncs(root.resolve("alone")))
-        val memberSyncs = ConcurrentLinkedQueue<Long>()
+        report("sync alone", measureSyncs(root.resolve("alone")))
+        val memberSyncNanos = ConcurrentLinkedQueue<Long>()
         val listener =
             object : LogListener {
                 override fun onSync(nanos: Long) {
-                    memberSyncs += nanos
+                    memberSyncNanos += nanos
                 }
             }
         val cluster = FileCluster(root, LogSettings(), listener)
         listOf("a", "b", "c").forEach { cluster.start(it) }
-        repeat(rate.coerceAtLeast(20)) { cluster.propose("warm up $it") }
-        memberSyncs.clear()
+        repeat(commitsPerSecond.coerceAtLeast(20)) { cluster.propose("warm up $it") }
+        memberSyncNanos.clear()
         val leader = cluster.leader()
-        val begin = System.nanoTime()
+        val startedNanos = System.nanoTime()
         val commits =
-            (0 until rate * seconds).map { number ->
-                val due = begin + number * NANOS_PER_SECOND / rate
-                delay((due - System.nanoTime()).coerceAtLeast(0).nanoseconds)
+            (0 until commitsPerSecond * seconds).map { commandNumber ->
+                val dueNanos = startedNanos + commandNumber * NANOS_PER_SECOND / commitsPerSecond
+                delay((dueNanos - System.nanoTime()).coerceAtLeast(0).nanoseconds)
                 async {
-                    val result = leader.propose("$number".padEnd(COMMAND_CHARACTERS, 'x'))
+                    val result = leader.propose("$commandNumber".padEnd(COMMAND_CHARACTERS, 'x'))
                     check(result is ProposalResult.Applied) { "$result" }
-                    System.nanoTime() - due
+                    System.nanoTime() - dueNanos
                 }
             }
-        report("commit at $rate/s", commits.awaitAll())
-        report("sync in the members", memberSyncs.toList())
+        report("commit at $commitsPerSecond/s", commits.awaitAll())
+        report("sync in the members", memberSyncNanos.toList())
         cluster.stopAll()
     }
 
-/** Appends and syncs one record at a time with nothing else going on. */
-private fun syncs(file: Path): List<Long> =
+/** Returns how long each append and sync of one record takes without any other load (ns). */
+private fun measureSyncs(file: Path): List<Long> =
     FileChannel.open(file, CREATE_NEW, WRITE).use { channel ->
-        List(ALONE_SYNCS) {
-            val begin = System.nanoTime()
+        List(BASELINE_SYNCS) {
+            val startedNanos = System.nanoTime()
             channel.write(ByteBuffer.allocate(COMMAND_CHARACTERS))
             channel.force(false)
-            System.nanoTime() - begin
+            System.nanoTime() - startedNanos
         }
     }
 
 private fun report(
-    what: String,
+    label: String,
     nanos: List<Long>,
 ) {
     val sorted = nanos.sorted()
-    val figures =
-        listOf(0.5, 0.9, 0.99, 1.0).joinToString { share ->
-            val value = sorted[((sorted.size - 1) * share).toInt()]
-            "p%.0f %.2f ms".format(share * 100, value / 1e6)
+    val percentiles =
+        listOf(0.5, 0.9, 0.99, 1.0).joinToString { quantile ->
+            val value = sorted[((sorted.size - 1) * quantile).toInt()]
+            "p%.0f %.2f ms".format(quantile * 100, value / 1e6)
         }
-    println("$what: ${sorted.size} samples, $figures")
+    println("$label: ${sorted.size} samples, $percentiles")
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/Elections.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/Elections.kt
@@ -7,93 +7,99 @@
 import kotlin.random.Random
 import kotlin.time.Duration
 
-/** Asks for votes and gives them. */
+/** Holds elections, each with a pre-vote first, and answers the vote requests of other members. */
 internal class Elections(
     private val state: MemberState,
     private val random: Random,
-    started: Duration,
+    startedAt: Duration,
     private val onElected: (Duration) -> Unit,
 ) {
-    private val granted = HashSet<MemberId>()
-    private var isTrial = true
+    /** The members that granted the current pre-vote or vote, this one included. */
+    private val grantedBy = HashSet<MemberId>()
 
-    /** Elections since the start, as long as no leader was heard and each may follow soon; null from then on. */
-    private var startAttempts: Int? = if (state.settings.electsAtStart) 0 else null
+    /** True if the current or last election of this member got no further than its pre-vote. */
+    private var isPreVote = true
 
-    /** When the next election is due. */
-    var due = nextDeadline(started)
+    /**
+     * Number of election deadlines set since the start while the short startup windows are used. Null once a leader was heard from, or
+     * once the window has grown to the election timeout.
+     */
+    private var startupAttempts: Int? = if (state.settings.electsAtStart) 0 else null
+
+    /** The time of the next election. */
+    var dueAt = randomElectionDeadline(startedAt)
         private set
 
-    /** A leader was heard: the next election is not due before an election time has passed. */
-    fun heard(now: Duration) {
-        startAttempts = null
-        postpone(now)
+    /** Call it after a message from a leader: the next election is at least one election timeout away. */
+    fun onLeaderContact(now: Duration) {
+        startupAttempts = null
+        resetElectionTimer(now)
     }
 
-    private fun postpone(now: Duration) {
-        due = nextDeadline(now)
+    private fun resetElectionTimer(now: Duration) {
+        dueAt = randomElectionDeadline(now)
     }
 
-    fun tick(now: Duration) {
-        if (state.role == Role.LEADER || now < due) return
-        postpone(now)
+    fun onTick(now: Duration) {
+        if (state.role == Role.LEADER || now < dueAt) return
+        resetElectionTimer(now)
         if (!state.isActive || state.log.isEmpty || !state.isVoter || state.isRetired(state.id)) return
         state.role = Role.CANDIDATE
         state.leader = null
-        isTrial = true
-        granted.clear()
-        granted += state.id
-        ask(now)
+        isPreVote = true
+        grantedBy.clear()
+        grantedBy += state.id
+        advanceElection(now)
     }
 
-    /** Answers [request]. A member that heard a leader less than an election time ago grants nothing. */
+    /** Answers [request]. A member that heard from a leader less than an election timeout ago grants no vote. */
     fun onRequest(
         now: Duration,
         call: Long,
         request: VoteRequest,
         hasLease: Boolean,
     ) {
-        val isGranted = !request.founding && isVoteAllowed(now, request.candidate, hasLease) && grant(now, request)
-        val isSilent = !state.isActive
-        val response = VoteResponse(if (isSilent) 0 else state.term, isGranted, state.vote.stage)
+        val isGranted = !request.founding && isVoteAllowed(now, request.candidate, hasLease) && grantVote(now, request)
+        val hidesTerm = !state.isActive
+        val response = VoteResponse(if (hidesTerm) 0 else state.term, isGranted, state.vote.stage)
         state.outbox.reply(call, PeerResponse.Vote(response))
     }
 
-    fun onAnswer(
+    fun onVoteResponse(
         now: Duration,
         from: MemberAddress,
         request: VoteRequest,
         response: VoteResponse,
     ) {
         if (response.term > state.term && !response.granted) {
-            state.follow(response.term, null)
+            state.becomeFollower(response.term, null)
             return
         }
-        val expected = if (isTrial) state.term + 1 else state.term
-        if (state.role != Role.CANDIDATE || request.preVote != isTrial || request.term != expected) return
-        if (!response.granted || response.stage != FoundingStage.ACTIVE) return
-        granted += from.member
-        ask(now)
+        val expected = if (isPreVote) state.term + 1 else state.term
+        if (state.role != Role.CANDIDATE || request.preVote != isPreVote || request.term != expected) return
+        if (!response.granted || response.stage != BootstrapStage.ACTIVE) return
+        grantedBy += from.member
+        advanceElection(now)
     }
 
-    /** Goes to the next step if a majority agrees; asks the others at the beginning of a step. */
-    private fun ask(now: Duration) {
-        if (hasMajority(state.log.voterSets, granted)) return if (isTrial) campaign(now) else onElected(now)
-        if (granted.size == 1) sendRequests()
+    /** Moves on from the pre-vote to the vote, or from the vote to leadership, once a majority agrees. Sends the requests of a new step. */
+    private fun advanceElection(now: Duration) {
+        if (hasMajority(state.log.voterSets, grantedBy)) return if (isPreVote) campaign(now) else onElected(now)
+        if (grantedBy.size == 1) sendRequests()
     }
 
     private fun campaign(now: Duration) {
-        state.save(state.vote.copy(term = state.term + 1, votedFor = state.id))
-        isTrial = false
-        granted.clear()
-        granted += state.id
-        postpone(now)
-        ask(now)
+        state.saveVote(state.vote.copy(term = state.term + 1, votedFor = state.id))
+        isPreVote = false
+        grantedBy.clear()
+        grantedBy += state.id
+        resetElectionTimer(now)
+        advanceElection(now)
     }
 
     private fun sendRequests() {
-        val term = if (isTrial) state.term + 1 else state.term
-        val request = VoteRequest(term, state.id, state.log.lastIndex, state.log.lastTerm, isTrial)
+        val term = if (isPreVote) state.term + 1 else state.term
+        val request = VoteRequest(term, state.id, state.log.lastIndex, state.log.lastTerm, isPreVote)
         val voters =
             state.log.voterSets
                 .flatten()
@@ -110,21 +116,21 @@
     ): Boolean {
         if (!state.isActive || state.log.isEmpty) return false
         if (state.isRetired(candidate)) return false
-        return !hasLease && now - state.heardAt >= state.settings.election
+        return !hasLease && now - state.lastLeaderContact >= state.settings.electionTimeout
     }
 
-    /** Just after a start, who has let another one stand waits, so that the two don't share the votes. */
-    private fun grant(
+    /** During startup, a member that grants a pre-vote resets its own election timer, so that the two don't split the votes. */
+    private fun grantVote(
         now: Duration,
         request: VoteRequest,
     ): Boolean {
         if (request.term < state.term || (request.preVote && request.term == state.term)) return false
-        if (request.preVote) return isUpToDate(request).also { if (it && startAttempts != null) postpone(now) }
-        if (request.term > state.term) state.follow(request.term, null)
+        if (request.preVote) return isUpToDate(request).also { if (it && startupAttempts != null) resetElectionTimer(now) }
+        if (request.term > state.term) state.becomeFollower(request.term, null)
         if (!isUpToDate(request)) return false
         if (state.vote.votedFor != null && state.vote.votedFor != request.candidate) return false
-        state.save(state.vote.copy(votedFor = request.candidate))
-        postpone(now)
+        state.saveVote(state.vote.copy(votedFor = request.candidate))
+        resetElectionTimer(now)
         return true
     }
 
@@ -132,16 +138,16 @@
         request.lastTerm > state.log.lastTerm ||
             (request.lastTerm == state.log.lastTerm && request.lastIndex >= state.log.lastIndex)
 
-    private fun nextDeadline(now: Duration): Duration {
-        val election = state.settings.election
-        val attempt = startAttempts ?: return now + election * (1.0 + random.nextDouble())
-        val span = state.settings.startSpan(attempt)
-        startAttempts = (attempt + 1).takeIf { span < election }
-        return now + span * (LEAST_START + random.nextDouble())
+    private fun randomElectionDeadline(now: Duration): Duration {
+        val electionTimeout = state.settings.electionTimeout
+        val attempt = startupAttempts ?: return now + electionTimeout * (1.0 + random.nextDouble())
+        val window = state.settings.startupElectionWindow(attempt)
+        startupAttempts = (attempt + 1).takeIf { window < electionTimeout }
+        return now + window * (MIN_STARTUP_DELAY_FRACTION + random.nextDouble())
     }
 
     private companion object {
-        /** Least part of a span before an election after the start: the links to the others come up meanwhile. */
-        const val LEAST_START = 0.5
+        /** Minimum delay before an election during startup, as a fraction of its window. The links to the other members open meanwhile. */
+        const val MIN_STARTUP_DELAY_FRACTION = 0.5
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/FileLogStorage.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/FileLogStorage.kt
@@ -15,24 +15,24 @@
 import java.nio.file.StandardOpenOption.WRITE
 
 /**
- * Keeps the state of a member in [folder]: `vote`, `snapshot` and `log`, and `lock` against a second process.
+ * Stores the state of a member in the files `vote`, `snapshot` and `log` of [folder]. A file lock on `lock` keeps other processes out.
  *
- * @property onSync is told how long each write of records with its sync took (ns)
+ * @property onSync called after each write of records with the time that the write and its sync took (ns)
  */
 internal class FileLogStorage(
     private val folder: Path,
     private val onSync: (Long) -> Unit = {},
 ) : LogStorage {
     private val files = SyncedFiles(folder)
-    private val logFile = folder.resolve(LOG)
+    private val logFile = folder.resolve(LOG_FILE)
     private var lockChannel: FileChannel? = null
-    private var log: FileChannel? = null
+    private var logChannel: FileChannel? = null
     private var failure: StorageError? = null
 
-    override fun open(member: MemberId): StorageOpening =
+    override fun open(member: MemberId): StorageOpenResult =
         try {
             if (!Files.exists(folder)) createFolder()
-            if (takeLock()) read(member) else refuse(StorageError.Locked(folder.toString()))
+            if (acquireLock()) read(member) else refuse(StorageError.Locked(folder.toString()))
         } catch (e: IOException) {
             refuse(StorageError.Failed("cannot open data folder $folder: $e"))
         }
@@ -40,7 +40,7 @@
     override fun persist(writes: List<StorageWrite>): StorageError? {
         failure?.let { return it }
         try {
-            for (write in merge(writes)) persist(write)
+            for (write in mergeWrites(writes)) persist(write)
         } catch (e: IOException) {
             failure = StorageError.Failed("cannot write to data folder $folder: $e")
         }
@@ -48,7 +48,7 @@
     }
 
     override fun close() {
-        log?.close()
+        logChannel?.close()
         lockChannel?.close()
     }
 
@@ -57,8 +57,8 @@
         folder.toAbsolutePath().parent?.let { SyncedFiles(it).syncFolder() }
     }
 
-    private fun takeLock(): Boolean {
-        val channel = FileChannel.open(folder.resolve(LOCK), CREATE, WRITE)
+    private fun acquireLock(): Boolean {
+        val channel = FileChannel.open(folder.resolve(LOCK_FILE), CREATE, WRITE)
         lockChannel = channel
         return try {
             channel.tryLock() != null
@@ -67,55 +67,56 @@
         }
     }
 
-    private fun refuse(error: StorageError): StorageOpening {
+    private fun refuse(error: StorageError): StorageOpenResult {
         close()
-        return StorageOpening.Refused(error)
+        return StorageOpenResult.Refused(error)
     }
 
-    private fun read(member: MemberId): StorageOpening =
+    private fun read(member: MemberId): StorageOpenResult =
         try {
-            val vote = readFile(VOTE)?.let { WireJson.decodeFromString<VoteState>(it) }
-            val snapshot = readFile(SNAPSHOT)?.let { WireJson.decodeFromString<StoredSnapshot>(it) }
+            val vote = readFrame(VOTE_FILE)?.let { WireJson.decodeFromString<VoteState>(it) }
+            val snapshot = readFrame(SNAPSHOT_FILE)?.let { WireJson.decodeFromString<StoredSnapshot>(it) }
             val records = readLog(snapshot)
             when {
-                vote == null && (snapshot != null || records.isNotEmpty()) -> throw Damage(VOTE, 0, "the file is missing")
+                vote == null && (snapshot != null || records.isNotEmpty()) -> throw CorruptionException(VOTE_FILE, 0, "the file is missing")
                 vote != null && vote.member != member -> refuse(StorageError.OtherMember(folder.toString(), vote.member))
-                else -> StorageOpening.Opened(StoredState(vote, snapshot, records))
+                else -> StorageOpenResult.Opened(StoredState(vote, snapshot, records))
             }
-        } catch (e: Damage) {
+        } catch (e: CorruptionException) {
             refuse(StorageError.Corrupt(folder.resolve(e.file).toString(), e.offset, e.reason))
         }
 
-    private fun readFile(name: String): String? {
+    private fun readFrame(name: String): String? {
         val file = folder.resolve(name)
         if (!Files.exists(file)) return null
         val scan = Frames.scan(Files.readAllBytes(file))
-        return scan.bodies.singleOrNull()?.decodeToString() ?: throw Damage(name, scan.end.toLong(), "no whole frame")
+        return scan.bodies.singleOrNull()?.decodeToString()
+            ?: throw CorruptionException(name, scan.endOffset.toLong(), "the file must hold exactly one valid frame")
     }
 
     private fun readLog(snapshot: StoredSnapshot?): List<LogRecord> {
         val content = if (Files.exists(logFile)) Files.readAllBytes(logFile) else ByteArray(0)
         val scan = Frames.scan(content)
-        scan.corruptAt?.let { throw Damage(LOG, it.toLong(), "bad checksum before the last frame") }
-        openLog(scan.end.toLong())
+        scan.corruptOffset?.let { throw CorruptionException(LOG_FILE, it.toLong(), "bad checksum before the last frame") }
+        openLog(scan.endOffset.toLong())
         var offset = 0L
         val records = ArrayList<LogRecord>()
         for (body in scan.bodies) {
-            replay(records, decode(body, offset), offset)
-            offset += Frames.HEAD + body.size
+            addFrame(records, decode(body, offset), offset)
+            offset += Frames.HEADER_BYTES + body.size
         }
-        return after(snapshot, records)
+        return recordsAfter(snapshot, records)
     }
 
-    private fun openLog(end: Long) {
+    private fun openLog(endOffset: Long) {
         val isNew = !Files.exists(logFile)
         val channel = FileChannel.open(logFile, CREATE, READ, WRITE)
-        log = channel
-        if (channel.size() > end) {
-            channel.truncate(end)
+        logChannel = channel
+        if (channel.size() > endOffset) {
+            channel.truncate(endOffset)
             channel.force(true)
         }
-        channel.position(end)
+        channel.position(endOffset)
         if (isNew) files.syncFolder()
     }
 
@@ -126,11 +127,11 @@
         try {
             WireJson.decodeFromString(body.decodeToString())
         } catch (e: SerializationException) {
-            throw Damage(LOG, offset, "the frame holds no records: $e")
+            throw CorruptionException(LOG_FILE, offset, "the frame does not decode to records: $e")
         }
 
-    /** Adds [frame] to [records]; its first record replaces all from that index on. */
-    private fun replay(
+    /** Adds the records of [frame] to [records]. Each replaces all earlier records from its index on. */
+    private fun addFrame(
         records: ArrayList<LogRecord>,
         frame: List<LogRecord>,
         offset: Long,
@@ -138,26 +139,29 @@
         for (record in frame) {
             while (records.isNotEmpty() && records.last().index >= record.index) records.removeLast()
             val expected = records.lastOrNull()?.let { it.index + 1 } ?: record.index
-            if (record.index != expected) throw Damage(LOG, offset, "record ${record.index} where $expected was expected")
+            if (record.index != expected) throw CorruptionException(LOG_FILE, offset, "record ${record.index} where $expected was expected")
             records += record
         }
     }
 
-    /** A crash between the replacement of the snapshot and of the log leaves records that [snapshot] covers or contradicts. */
-    private fun after(
+    /**
+     * Returns the records after [snapshot]. A crash after the snapshot was replaced, but before the log was, leaves records in
+     * the log that the snapshot covers or contradicts.
+     */
+    private fun recordsAfter(
         snapshot: StoredSnapshot?,
         records: List<LogRecord>,
     ): List<LogRecord> {
-        val covered = snapshot?.index ?: 0L
+        val snapshotIndex = snapshot?.index ?: 0L
         val first = records.firstOrNull() ?: return emptyList()
-        if (first.index > covered + 1) throw Damage(LOG, 0, "record ${first.index} does not follow $covered")
-        if (first.index == covered + 1) return records
-        val last = records.find { it.index == covered }
-        return if (last?.term == snapshot?.term) records.filter { it.index > covered } else emptyList()
+        if (first.index > snapshotIndex + 1) throw CorruptionException(LOG_FILE, 0, "record ${first.index} does not follow $snapshotIndex")
+        if (first.index == snapshotIndex + 1) return records
+        val last = records.find { it.index == snapshotIndex }
+        return if (last?.term == snapshot?.term) records.filter { it.index > snapshotIndex } else emptyList()
     }
 
-    /** Joins appends that follow each other, so that they share one sync, and keeps only the last vote of a run. */
-    private fun merge(writes: List<StorageWrite>): List<StorageWrite> {
+    /** Joins consecutive appends, so that they share one sync, and keeps only the last one of consecutive votes. */
+    private fun mergeWrites(writes: List<StorageWrite>): List<StorageWrite> {
         val merged = ArrayList<StorageWrite>()
         for (write in writes) {
             val last = merged.lastOrNull()
@@ -180,40 +184,40 @@
 
     private fun persist(write: StorageWrite) {
         when (write) {
-            is StorageWrite.Vote -> files.replace(VOTE, frame(WireJson.encodeToString(write.state)))
+            is StorageWrite.Vote -> files.replace(VOTE_FILE, encodeFrame(WireJson.encodeToString(write.state)))
             is StorageWrite.Append -> append(write.records)
             is StorageWrite.Snapshot -> replaceLog(write)
         }
     }
 
     private fun append(records: List<LogRecord>) {
-        val channel = checkNotNull(log) { "the storage is not open" }
-        val begin = System.nanoTime()
-        SyncedFiles.writeAll(channel, frame(WireJson.encodeToString(records)))
+        val channel = checkNotNull(logChannel) { "the storage is not open" }
+        val startedNanos = System.nanoTime()
+        SyncedFiles.writeAll(channel, encodeFrame(WireJson.encodeToString(records)))
         channel.force(false)
-        onSync(System.nanoTime() - begin)
+        onSync(System.nanoTime() - startedNanos)
     }
 
     private fun replaceLog(write: StorageWrite.Snapshot) {
-        files.replace(SNAPSHOT, frame(WireJson.encodeToString(write.snapshot)))
-        log?.close()
-        val content = if (write.remaining.isEmpty()) ByteBuffer.allocate(0) else frame(WireJson.encodeToString(write.remaining))
-        files.replace(LOG, content)
+        files.replace(SNAPSHOT_FILE, encodeFrame(WireJson.encodeToString(write.snapshot)))
+        logChannel?.close()
+        val content = if (write.remaining.isEmpty()) ByteBuffer.allocate(0) else encodeFrame(WireJson.encodeToString(write.remaining))
+        files.replace(LOG_FILE, content)
         openLog(Files.size(logFile))
     }
 
-    private fun frame(text: String) = Frames.encode(text.encodeToByteArray())
+    private fun encodeFrame(text: String) = Frames.encode(text.encodeToByteArray())
 
-    private class Damage(
+    private class CorruptionException(
         val file: String,
         val offset: Long,
         val reason: String,
     ) : Exception(reason)
 
     private companion object {
-        const val VOTE = "vote"
-        const val SNAPSHOT = "snapshot"
-        const val LOG = "log"
-        const val LOCK = "lock"
+        const val VOTE_FILE = "vote"
+        const val SNAPSHOT_FILE = "snapshot"
+        const val LOG_FILE = "log"
+        const val LOCK_FILE = "lock"
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/Follower.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/Follower.kt
@@ -11,35 +11,35 @@
 import io.bluebellramp.messages.SnapshotResponse
 import kotlin.time.Duration
 
-/** Takes records and snapshots from a leader. */
+/** Handles the records and snapshots that a leader sends. */
 internal class Follower(
     private val state: MemberState,
-    private val started: Duration,
-    private val onHeard: (Duration) -> Unit,
+    private val startedAt: Duration,
+    private val onLeaderContact: (Duration) -> Unit,
 ) {
     private val log get() = state.log
-    private val parts = StringBuilder()
-    private var partsIndex = 0L
-    private var partsTerm = 0L
+    private val incomingSnapshotBody = StringBuilder()
+    private var incomingSnapshotIndex = 0L
+    private var incomingSnapshotTerm = 0L
 
     fun onAppend(
         now: Duration,
         call: Long,
         request: AppendRequest,
     ) {
-        if (isSilent(now, request.leader) ||
-            hasLost(request.records)
+        if (mustIgnore(now, request.leader) ||
+            hasLostState(request.records)
         ) {
             return reply(call, AppendResponse(0, NO_ROUND, accepted = false, lastIndex = 0))
         }
         if (request.term < state.term) return reject(call, request, log.lastIndex)
-        hear(now, request.term, request.leader)
-        val retryFrom = mismatch(request)
+        acceptLeader(now, request.term, request.leader)
+        val retryFrom = conflictIndex(request)
         if (retryFrom != null) return reject(call, request, retryFrom)
-        store(request.records)
-        val matched = request.previousIndex + request.records.size
-        state.commit(minOf(request.commitIndex, matched))
-        reply(call, AppendResponse(state.term, request.round, accepted = true, lastIndex = matched))
+        storeRecords(request.records)
+        val matchIndex = request.previousIndex + request.records.size
+        state.commit(minOf(request.commitIndex, matchIndex))
+        reply(call, AppendResponse(state.term, request.round, accepted = true, lastIndex = matchIndex))
     }
 
     fun onSnapshot(
@@ -47,81 +47,83 @@
         call: Long,
         request: SnapshotRequest,
     ) {
-        if (isSilent(now, request.leader) ||
-            hasLost(request.membership)
+        if (mustIgnore(now, request.leader) ||
+            hasLostState(request.membership)
         ) {
             return reply(call, SnapshotResponse(0, NO_ROUND, 0, installed = false))
         }
         if (request.term < state.term) return reply(call, SnapshotResponse(state.term, request.round, 0, installed = false))
-        hear(now, request.term, request.leader)
-        val isInstalled = request.lastIndex <= state.commitIndex || collect(request)
-        reply(call, SnapshotResponse(state.term, request.round, parts.length, isInstalled))
+        acceptLeader(now, request.term, request.leader)
+        val isInstalled = request.lastIndex <= state.commitIndex || receiveChunk(request)
+        reply(call, SnapshotResponse(state.term, request.round, incomingSnapshotBody.length, isInstalled))
     }
 
     /**
-     * A member that is not active answers nothing. One that joins with an empty folder answers nothing at first either, until a
-     * leader that is no longer followed has stepped down, so that a lost folder can't help it to a majority. Where messages name
-     * their receiver that leader's messages are for the former id, and there is nothing to wait for.
+     * Returns true if requests of [leader] must be ignored: always if the leader is retired or this member is not active.
+     *
+     * A member that joins with an empty folder also ignores them until a leader without a majority must have stepped down. Otherwise a
+     * member that lost its folder could restore that leader's majority. With [LogSettings.namesReceiver] that leader addresses its
+     * requests to the former id of the member, so no wait is needed.
      */
-    private fun isSilent(
+    private fun mustIgnore(
         now: Duration,
         leader: MemberAddress,
     ): Boolean {
         if (state.isRetired(leader.member)) return true
-        if (state.vote.joining && log.isEmpty) return !state.settings.namesReceiver && now - started < state.settings.stepDown * 2
+        if (state.vote.joining && log.isEmpty) return !state.settings.namesReceiver && now - startedAt < state.settings.stepDownTimeout * 2
         return !state.isActive
     }
 
-    private fun hasLost(records: List<LogRecord>) =
-        log.isEmpty && records.any { it.kind == RecordKind.MEMBERSHIP && hasLost(WireJson.decodeFromString<Membership>(it.body)) }
+    private fun hasLostState(records: List<LogRecord>) =
+        log.isEmpty && records.any { it.kind == RecordKind.MEMBERSHIP && hasLostState(WireJson.decodeFromString<Membership>(it.body)) }
 
-    /** Tells whether this folder is empty though its member votes. A new member is made a voter only after it held records. */
-    private fun hasLost(membership: Membership) = log.isEmpty && membership.voters.any { it.member == state.id }
+    /** Returns true if the log is empty although this member is a voter. A new member becomes a voter only after it has stored records. */
+    private fun hasLostState(membership: Membership) = log.isEmpty && membership.voters.any { it.member == state.id }
 
-    private fun hear(
+    private fun acceptLeader(
         now: Duration,
         term: Long,
         leader: MemberAddress,
     ) {
-        if (term > state.term || state.role == Role.CANDIDATE || state.leader != leader) state.follow(term, leader)
+        if (term > state.term || state.role == Role.CANDIDATE || state.leader != leader) state.becomeFollower(term, leader)
         state.role = if (state.isVoter) Role.FOLLOWER else Role.LEARNER
-        state.heardAt = now
-        onHeard(now)
+        state.lastLeaderContact = now
+        onLeaderContact(now)
     }
 
-    /** Returns null if the record before those of [request] matches, or else the index from which the leader should try again. */
-    private fun mismatch(request: AppendRequest): Long? {
+    /** Returns null if the record before those of [request] matches this log, or else the last index that may match. */
+    private fun conflictIndex(request: AppendRequest): Long? {
         val previous = request.previousIndex
         if (previous < log.snapshotIndex) return null
         if (previous > log.lastIndex) return log.lastIndex
         if (log.termAt(previous) == request.previousTerm) return null
-        return maxOf(state.commitIndex, log.firstOfTerm(previous) - 1, 1)
+        return maxOf(state.commitIndex, log.firstIndexOfTerm(previous) - 1, 1)
     }
 
-    private fun store(records: List<LogRecord>) {
+    private fun storeRecords(records: List<LogRecord>) {
         val added = records.dropWhile { it.index <= log.snapshotIndex || log.termAt(it.index) == it.term }
         val first = added.firstOrNull() ?: return
         if (first.index <= log.lastIndex) {
             check(first.index > state.commitIndex) { "the leader replaces committed record ${first.index}" }
             log.truncateFrom(first.index)
-            state.sync.truncated(first.index)
+            state.syncedIndex.truncateFrom(first.index)
         }
         log.append(added)
         state.outbox.write(StorageWrite.Append(added))
     }
 
-    private fun collect(request: SnapshotRequest): Boolean {
-        if (request.lastIndex != partsIndex || request.lastTerm != partsTerm) {
-            parts.clear()
-            partsIndex = request.lastIndex
-            partsTerm = request.lastTerm
+    private fun receiveChunk(request: SnapshotRequest): Boolean {
+        if (request.lastIndex != incomingSnapshotIndex || request.lastTerm != incomingSnapshotTerm) {
+            incomingSnapshotBody.clear()
+            incomingSnapshotIndex = request.lastIndex
+            incomingSnapshotTerm = request.lastTerm
         }
-        if (request.offset != parts.length) return false
-        parts.append(request.body)
+        if (request.offset != incomingSnapshotBody.length) return false
+        incomingSnapshotBody.append(request.body)
         if (!request.last) return false
-        state.install(StoredSnapshot(request.lastIndex, request.lastTerm, request.membership, parts.toString()))
-        parts.clear()
-        partsIndex = 0
+        state.installSnapshot(StoredSnapshot(request.lastIndex, request.lastTerm, request.membership, incomingSnapshotBody.toString()))
+        incomingSnapshotBody.clear()
+        incomingSnapshotIndex = 0
         return true
     }
 
@@ -142,7 +144,7 @@
     ) = state.outbox.reply(call, PeerResponse.Snapshot(response))
 
     private companion object {
-        /** No leader sends this round, so the answer counts for nothing. */
+        /** No leader uses this round, so it ignores the answer. */
         const val NO_ROUND = 0L
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/Leader.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/Leader.kt
@@ -9,172 +9,174 @@
 import io.bluebellramp.messages.SnapshotResponse
 import kotlin.time.Duration
 
-/** Sends records to the other members, counts what is synced, and keeps the lease. */
+/** Replicates the log to the other members, advances the commit index, and tracks the leader's lease. */
 internal class Leader(
     private val state: MemberState,
 ) {
     private class Progress(
-        var next: Long,
+        var nextIndex: Long,
     ) {
-        var match = 0L
+        var matchIndex = 0L
 
-        /** When records were sent that are not answered yet. */
-        var sentAt: Duration? = null
+        /** When the unanswered records or snapshot part were sent, or null if all are answered. */
+        var unansweredSince: Duration? = null
 
-        /** When the last answered round was sent. */
-        var confirmedAt: Duration? = null
+        /** When the latest answered request was sent. */
+        var lastContactAt: Duration? = null
         var snapshotIndex = 0L
         var offset = 0
 
-        /** True if the last request got no answer: the next one waits for the heartbeat. */
-        var isFailing = false
+        /** True if the last request got no valid answer. The next one is sent with the next heartbeat. */
+        var isUnresponsive = false
 
-        /** True for a voter that holds nothing: it has lost its folder and gets no records. */
-        var isEmpty = false
+        /** True for a voter with an empty log: it has lost its data folder and gets no records. */
+        var hasLostState = false
     }
 
     private val log get() = state.log
-    private val progress = HashMap<MemberId, Progress>()
-    private val sentAt = LinkedHashMap<Long, Duration>()
+    private val progressByMember = HashMap<MemberId, Progress>()
+    private val roundSentAt = LinkedHashMap<Long, Duration>()
     private var round = 0L
     private var noOpIndex = 0L
     private var electedAt = Duration.ZERO
-    private var beatAt = Duration.ZERO
+    private var lastHeartbeatAt = Duration.ZERO
 
-    /** True once a record of the own term is applied. */
-    val isConfirmed get() = state.role == Role.LEADER && state.appliedIndex >= noOpIndex
+    /** True once this leader has applied a record of its own term. */
+    val hasAppliedOwnTerm get() = state.role == Role.LEADER && state.appliedIndex >= noOpIndex
 
-    /** When the next heartbeat is due. */
-    val due get() = beatAt + state.settings.heartbeat
+    /** The time of the next heartbeat. */
+    val nextHeartbeatAt get() = lastHeartbeatAt + state.settings.heartbeatInterval
 
-    fun start(now: Duration) {
+    fun becomeLeader(now: Duration) {
         state.role = Role.LEADER
         state.leader = state.self
-        progress.clear()
-        sentAt.clear()
+        progressByMember.clear()
+        roundSentAt.clear()
         electedAt = now
         peers().forEach { progressOf(it.member) }
         noOpIndex = state.append(RecordKind.NO_OP, "")
-        beat(now)
+        sendHeartbeats(now)
     }
 
-    fun tick(now: Duration) {
+    fun onTick(now: Duration) {
         if (state.role != Role.LEADER) return
-        val heard = confirmedAt(now) ?: electedAt
-        if (now - heard > state.settings.stepDown) return state.follow(state.term, null)
-        if (now >= due) beat(now)
+        val lastContactAt = majorityContactAt(now) ?: electedAt
+        if (now - lastContactAt > state.settings.stepDownTimeout) return state.becomeFollower(state.term, null)
+        if (now >= nextHeartbeatAt) sendHeartbeats(now)
     }
 
-    /** Returns the time at which the lease ends if no further round is answered, or null without a lease. */
+    /** Returns the time at which the lease ends unless further requests are answered, or null if there is no lease. */
     fun leaseEnd(now: Duration): Duration? {
-        if (!isConfirmed) return null
-        return confirmedAt(now)?.let { it + state.settings.lease }
+        if (!hasAppliedOwnTerm) return null
+        return majorityContactAt(now)?.let { it + state.settings.leaseDuration }
     }
 
-    /** Commits what a majority has synced and sends new records to each member that has answered the last ones. */
-    fun flush(now: Duration) {
+    /** Commits the records that a majority has synced, and sends new records to each member that has answered the previous ones. */
+    fun commitAndReplicate(now: Duration) {
         if (state.role != Role.LEADER) return
-        commit()
+        advanceCommitIndex()
         for (peer in peers()) {
-            val known = progressOf(peer.member)
-            val isReady = known.sentAt == null && !known.isFailing && !known.isEmpty
-            if (isReady && known.next <= log.lastIndex) send(now, peer, known)
+            val progress = progressOf(peer.member)
+            val isReady = progress.unansweredSince == null && !progress.isUnresponsive && !progress.hasLostState
+            if (isReady && progress.nextIndex <= log.lastIndex) send(now, peer, progress)
         }
     }
 
-    fun onAppendAnswer(
+    fun onAppendResponse(
         from: MemberAddress,
         request: AppendRequest,
         response: AppendResponse?,
     ) {
-        val known = progressFor(from, request.term) ?: return
-        if (request.records.isNotEmpty()) known.sentAt = null
-        known.isFailing = response == null || response.round != request.round || response.term != state.term
-        if (response == null || known.isFailing) return
+        val progress = currentProgressOf(from, request.term) ?: return
+        if (request.records.isNotEmpty()) progress.unansweredSince = null
+        progress.isUnresponsive = response == null || response.round != request.round || response.term != state.term
+        if (response == null || progress.isUnresponsive) return
         if (response.accepted) {
-            advance(known, response.lastIndex)
-        } else if (!retry(from, known, request, response)) {
+            updateMatchIndex(progress, response.lastIndex)
+        } else if (!backtrack(from, progress, request, response)) {
             return
         }
-        confirm(known, request.round)
+        updateLastContact(progress, request.round)
     }
 
-    fun onSnapshotAnswer(
+    fun onSnapshotResponse(
         from: MemberAddress,
         request: SnapshotRequest,
         response: SnapshotResponse?,
     ) {
-        val known = progressFor(from, request.term) ?: return
-        known.sentAt = null
-        known.isFailing = response == null || response.round != request.round || response.term != state.term
-        if (response == null || known.isFailing) return
-        confirm(known, request.round)
+        val progress = currentProgressOf(from, request.term) ?: return
+        progress.unansweredSince = null
+        progress.isUnresponsive = response == null || response.round != request.round || response.term != state.term
+        if (response == null || progress.isUnresponsive) return
+        updateLastContact(progress, request.round)
         if (response.installed) {
-            advance(known, request.lastIndex)
-        } else if (request.lastIndex == known.snapshotIndex) {
-            known.offset = response.nextOffset
+            updateMatchIndex(progress, request.lastIndex)
+        } else if (request.lastIndex == progress.snapshotIndex) {
+            progress.offset = response.nextOffset
         }
     }
 
-    /** Last synced index by member. */
-    fun matches(): Map<String, Long> =
-        log.members.associate { it.member.value to if (it.member == state.id) state.sync.index else progress[it.member]?.match ?: 0L }
+    /** Returns the last index known to be synced, by member. */
+    fun matchIndexes(): Map<String, Long> =
+        log.members.associate {
+            it.member.value to if (it.member == state.id) state.syncedIndex.index else progressByMember[it.member]?.matchIndex ?: 0L
+        }
 
-    fun matchOf(member: MemberId): Long = progress[member]?.match ?: 0L
+    fun matchIndexOf(member: MemberId): Long = progressByMember[member]?.matchIndex ?: 0L
 
-    /** Returns when the last request was sent that [member] answered, or null. */
-    fun heardFrom(member: MemberId): Duration? = progress[member]?.confirmedAt
+    /** Returns when the latest request that [member] has answered was sent, or null if there is none. */
+    fun lastContactAt(member: MemberId): Duration? = progressByMember[member]?.lastContactAt
 
     private fun peers() = log.members.filter { it.member != state.id }
 
-    private fun progressOf(member: MemberId) = progress.getOrPut(member) { Progress(log.lastIndex + 1) }
+    private fun progressOf(member: MemberId) = progressByMember.getOrPut(member) { Progress(log.lastIndex + 1) }
 
-    private fun progressFor(
+    private fun currentProgressOf(
         from: MemberAddress,
         term: Long,
-    ) = if (state.role == Role.LEADER && term == state.term) progress[from.member] else null
+    ) = if (state.role == Role.LEADER && term == state.term) progressByMember[from.member] else null
 
-    private fun advance(
-        known: Progress,
+    private fun updateMatchIndex(
+        progress: Progress,
         match: Long,
     ) {
-        known.isEmpty = false
-        known.match = maxOf(known.match, match)
-        known.next = maxOf(known.next, known.match + 1)
+        progress.hasLostState = false
+        progress.matchIndex = maxOf(progress.matchIndex, match)
+        progress.nextIndex = maxOf(progress.nextIndex, progress.matchIndex + 1)
     }
 
     private fun isVoter(member: MemberId) = log.voterSets.any { member in it }
 
-    /** Starts a round: every member gets a request, so that its answer confirms the leader. */
-    private fun beat(now: Duration) {
-        beatAt = now
+    /** Sends a request to every member; the answers of a majority extend the lease. */
+    private fun sendHeartbeats(now: Duration) {
+        lastHeartbeatAt = now
         for (peer in peers()) {
-            val known = progressOf(peer.member)
-            val isWaiting = known.sentAt?.let { now - it < state.settings.election } ?: false
-            if (isWaiting || known.isEmpty) sendRecords(now, peer, known, limit = 0) else send(now, peer, known)
+            val progress = progressOf(peer.member)
+            val isAwaitingAnswer = progress.unansweredSince?.let { now - it < state.settings.electionTimeout } ?: false
+            if (isAwaitingAnswer || progress.hasLostState) sendRecords(now, peer, progress, limit = 0) else send(now, peer, progress)
         }
     }
 
     private fun send(
         now: Duration,
         peer: MemberAddress,
-        known: Progress,
+        progress: Progress,
     ) {
-        val isBehind = known.next <= log.snapshotIndex
-        if (isBehind) sendSnapshot(now, peer, known) else sendRecords(now, peer, known, MOST_RECORDS)
+        val isBehind = progress.nextIndex <= log.snapshotIndex
+        if (isBehind) sendSnapshot(now, peer, progress) else sendRecords(now, peer, progress, MAX_RECORDS_PER_REQUEST)
     }
 
     private fun sendRecords(
         now: Duration,
         peer: MemberAddress,
-        known: Progress,
+        progress: Progress,
         limit: Int,
     ) {
-        val start = if (limit == 0 && known.match > 0) known.match else known.next - 1
+        val start = if (limit == 0 && progress.matchIndex > 0) progress.matchIndex else progress.nextIndex - 1
         val previous = maxOf(start, log.snapshotIndex)
         val term = checkNotNull(log.termAt(previous)) { "no term of record $previous" }
         val records = log.batch(previous + 1, limit)
-        if (records.isNotEmpty()) known.sentAt = now
+        if (records.isNotEmpty()) progress.unansweredSince = now
         val request = AppendRequest(state.term, state.self, nextRound(now), previous, term, records, state.commitIndex)
         state.outbox.send(peer, PeerRequest.Append(request))
     }
@@ -182,16 +184,16 @@
     private fun sendSnapshot(
         now: Duration,
         peer: MemberAddress,
-        known: Progress,
+        progress: Progress,
     ) {
         val snapshot = checkNotNull(log.snapshot)
-        if (known.snapshotIndex != snapshot.index) {
-            known.snapshotIndex = snapshot.index
-            known.offset = 0
+        if (progress.snapshotIndex != snapshot.index) {
+            progress.snapshotIndex = snapshot.index
+            progress.offset = 0
         }
-        val start = minOf(known.offset, snapshot.body.length)
-        val end = minOf(start + state.settings.snapshotPart, snapshot.body.length)
-        val part = snapshot.body.substring(start, end)
+        val start = minOf(progress.offset, snapshot.body.length)
+        val end = minOf(start + state.settings.maxSnapshotChunkCharacters, snapshot.body.length)
+        val chunk = snapshot.body.substring(start, end)
         val isLast = end == snapshot.body.length
         val request =
             SnapshotRequest(
@@ -202,51 +204,54 @@
                 lastTerm = snapshot.term,
                 membership = snapshot.membership,
                 offset = start,
-                body = part,
+                body = chunk,
                 last = isLast,
             )
-        known.sentAt = now
+        progress.unansweredSince = now
         state.outbox.send(peer, PeerRequest.Snapshot(request))
     }
 
     private fun nextRound(now: Duration): Long {
-        sentAt[++round] = now
-        if (sentAt.size > MOST_ROUNDS) sentAt.remove(sentAt.keys.first())
+        roundSentAt[++round] = now
+        if (roundSentAt.size > MAX_TRACKED_ROUNDS) roundSentAt.remove(roundSentAt.keys.first())
         return round
     }
 
-    /** Moves back to where [response] tells. Returns false if the answer counts for nothing. */
-    private fun retry(
+    /**
+     * Moves the next index back as [response] asks. Returns false if the answer must be ignored: the voter has lost its state, or the
+     * answer is outdated.
+     */
+    private fun backtrack(
         from: MemberAddress,
-        known: Progress,
+        progress: Progress,
         request: AppendRequest,
         response: AppendResponse,
     ): Boolean {
-        known.isEmpty = response.lastIndex == 0L && isVoter(from.member)
-        if (known.isEmpty || request.previousIndex <= known.match) return false
-        known.next = maxOf(known.match + 1, minOf(request.previousIndex, response.lastIndex + 1))
+        progress.hasLostState = response.lastIndex == 0L && isVoter(from.member)
+        if (progress.hasLostState || request.previousIndex <= progress.matchIndex) return false
+        progress.nextIndex = maxOf(progress.matchIndex + 1, minOf(request.previousIndex, response.lastIndex + 1))
         return true
     }
 
-    private fun confirm(
-        known: Progress,
+    private fun updateLastContact(
+        progress: Progress,
         round: Long,
     ) {
-        val sent = sentAt[round] ?: return
-        known.confirmedAt = known.confirmedAt?.coerceAtLeast(sent) ?: sent
+        val contactAt = roundSentAt[round] ?: return
+        progress.lastContactAt = progress.lastContactAt?.coerceAtLeast(contactAt) ?: contactAt
     }
 
-    /** Returns when the last round was sent that a majority answered. */
-    private fun confirmedAt(now: Duration): Duration? =
-        majorityValue(log.voterSets) { if (it == state.id) now else progress[it]?.confirmedAt }
+    /** Returns the latest time such that a majority has answered requests sent then or later, or null if there is none. */
+    private fun majorityContactAt(now: Duration): Duration? =
+        majorityValue(log.voterSets) { if (it == state.id) now else progressByMember[it]?.lastContactAt }
 
-    private fun commit() {
-        val index = majorityValue(log.voterSets) { if (it == state.id) state.sync.index else matchOf(it) } ?: return
+    private fun advanceCommitIndex() {
+        val index = majorityValue(log.voterSets) { if (it == state.id) state.syncedIndex.index else matchIndexOf(it) } ?: return
         if (index > state.commitIndex && log.termAt(index) == state.term) state.commit(index)
     }
 
     private companion object {
-        const val MOST_RECORDS = 512
-        const val MOST_ROUNDS = 4096
+        const val MAX_RECORDS_PER_REQUEST = 512
+        const val MAX_TRACKED_ROUNDS = 4096
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogListener.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogListener.kt
@@ -1,13 +1,13 @@
 package io.bluebellramp.replication
 
-/** Is told what a [LogMember] does. All functions return at once. */
+/** Receives events of a [LogMember]. Implementations must not block. */
 interface LogListener {
-    /** A write of records and its sync took [nanos] (ns). */
+    /** Called after each write of records; the write and its sync took [nanos] (ns). */
     fun onSync(nanos: Long) = Unit
 
-    /** The role of the member or the leader that it knows changed. */
+    /** Called when the role of the member or the leader known to it has changed. */
     fun onLeadership(status: LogStatus) = Unit
 
-    /** The disk failed; the member has stopped and must be restarted or replaced. */
+    /** Called when a write to disk failed. The member has stopped and must be restarted or replaced. */
     fun onStorageFailure(error: StorageError) = Unit
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogMember.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogMember.kt
@@ -32,11 +32,11 @@
 import kotlin.time.Duration
 
 /**
- * A member of the replicated log.
+ * A member of the replicated log: runs [RaftCore] with a disk, a network and a clock.
  *
- * @param founding the first members of a new cluster; ignored once the folder holds a membership
- * @param joining true for a member that starts empty and waits to be added
- * @param machine called from one thread at a time, never concurrently
+ * @param founding the initial members of a new cluster; ignored once the folder holds a membership
+ * @param joining true for a member that starts with an empty folder and waits to be added to an existing cluster
+ * @param machine the replicated state; it is never called concurrently
  */
 class LogMember internal constructor(
     private val self: MemberAddress,
@@ -50,7 +50,7 @@
     private val listener: LogListener,
 ) : ReplicatedLog,
     AutoCloseable {
-    /** A member with its files in [folder]. */
+    /** Creates a member that stores its files in [folder]. */
     constructor(
         self: MemberAddress,
         founding: List<MemberAddress>,
@@ -63,7 +63,7 @@
         listener: LogListener = object : LogListener {},
     ) : this(self, founding, joining, FileLogStorage(folder, listener::onSync), machine, transport, clock, settings, listener)
 
-    private val disk =
+    private val diskDispatcher =
         Executors
             .newSingleThreadExecutor {
                 Thread(
@@ -74,111 +74,111 @@
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val inputs = Channel<(RaftCore) -> Unit>(Channel.UNLIMITED)
     private val outputs = Channel<Output>(Channel.UNLIMITED)
-    private val numbers = AtomicLong()
+    private val lastId = AtomicLong()
     private val isClosed = AtomicBoolean()
 
-    /** Outputs that the disk has not finished. */
-    private val unfinished = AtomicInteger()
-    private val calls = ConcurrentHashMap<Long, CompletableDeferred<PeerResponse>>()
-    private val proposals = ConcurrentHashMap<Long, CompletableDeferred<ProposalResult>>()
+    /** Number of outputs passed to the disk thread whose effects are not performed yet. */
+    private val unfinishedOutputs = AtomicInteger()
+    private val pendingCalls = ConcurrentHashMap<Long, CompletableDeferred<PeerResponse>>()
+    private val pendingProposals = ConcurrentHashMap<Long, CompletableDeferred<ProposalResult>>()
 
     @Volatile
     private var leaseEnd: Duration? = null
 
     @Volatile
-    private var due = Duration.ZERO
+    private var dueAt = Duration.ZERO
 
     @Volatile
-    private var status = LogStatus(Role.LEARNER, 0, null, 0, 0, 0, NO_MEMBERS, emptyMap())
+    private var status = LogStatus(Role.LEARNER, 0, null, 0, 0, 0, EMPTY_MEMBERSHIP, emptyMap())
 
-    /** Reads the folder and takes part from then on. Call it once. */
+    /** Reads the stored state and starts the member. Call it at most once. */
     suspend fun start(): LogStart =
-        when (val opening = withContext(disk) { storage.open(self.member) }) {
-            is StorageOpening.Refused -> {
+        when (val result = withContext(diskDispatcher) { storage.open(self.member) }) {
+            is StorageOpenResult.Refused -> {
                 close()
-                LogStart.Refused(opening.error)
+                LogStart.Refused(result.error)
             }
 
-            is StorageOpening.Opened -> {
-                run(opening.state)
+            is StorageOpenResult.Opened -> {
+                startCore(result.state)
             }
         }
 
-    /** Stops at once. Open proposals end as [ProposalResult.Unknown]. */
+    /** Stops the member immediately. Pending proposals complete with [ProposalResult.Unknown]. */
     override fun close() {
         if (!isClosed.compareAndSet(false, true)) return
         stop()
         runBlocking {
             scope.coroutineContext.job.join()
-            withContext(disk) { storage.close() }
+            withContext(diskDispatcher) { storage.close() }
         }
-        disk.close()
+        diskDispatcher.close()
     }
 
-    override suspend fun propose(command: String): ProposalResult = finish { core, id -> core.onPropose(id, command) }
+    override suspend fun propose(command: String): ProposalResult = submitProposal { core, id -> core.onPropose(id, command) }
 
     override suspend fun changeMembership(request: MembershipRequest): ProposalResult =
-        finish { core, id -> core.onChange(clock.monotonic(), id, request) }
+        submitProposal { core, id -> core.onMembershipChange(clock.monotonic(), id, request) }
 
     override fun holdsMajority(): Boolean = leaseEnd?.let { clock.monotonic() < it } ?: false
 
     override fun status(): LogStatus = status
 
     override suspend fun onVote(request: VoteRequest): VoteResponse {
-        val response = answer(PeerRequest.Vote(request)) as PeerResponse.Vote?
+        val response = submitRequest(PeerRequest.Vote(request)) as PeerResponse.Vote?
         return response?.body ?: VoteResponse(0, granted = false)
     }
 
     override suspend fun onAppend(request: AppendRequest): AppendResponse {
-        val response = answer(PeerRequest.Append(request)) as PeerResponse.Append?
+        val response = submitRequest(PeerRequest.Append(request)) as PeerResponse.Append?
         return response?.body ?: AppendResponse(0, 0, accepted = false, lastIndex = 0)
     }
 
     override suspend fun onSnapshot(request: SnapshotRequest): SnapshotResponse {
-        val response = answer(PeerRequest.Snapshot(request)) as PeerResponse.Snapshot?
+        val response = submitRequest(PeerRequest.Snapshot(request)) as PeerResponse.Snapshot?
         return response?.body ?: SnapshotResponse(0, 0, 0, installed = false)
     }
 
-    private suspend fun run(stored: StoredState): LogStart {
+    private suspend fun startCore(stored: StoredState): LogStart {
         val random = Random(Random.nextLong())
         val core = RaftCore(self, founding, joining, settings, machine, stored, random, clock.monotonic())
-        val first = core.take(clock.monotonic())
-        val error = withContext(disk) { storage.persist(first.writes) }
+        val first = core.takeOutput(clock.monotonic())
+        val error = withContext(diskDispatcher) { storage.persist(first.writes) }
         if (error != null) {
             close()
             return LogStart.Refused(error)
         }
-        core.onSynced(first.number)
-        launchAll(core)
+        core.onSynced(first.sequenceNumber)
+        launchLoops(core)
         return LogStart.Started
     }
 
-    private fun launchAll(core: RaftCore) {
+    private fun launchLoops(core: RaftCore) {
         scope.launch {
             try {
-                drive(core)
+                runCore(core)
             } finally {
                 stop()
             }
         }
-        scope.launch(disk) { persist() }
+        scope.launch(diskDispatcher) { persistOutputs() }
         scope.launch {
             while (true) {
                 inputs.trySend { it.onTick(clock.monotonic()) }
-                delay(untilTick())
+                delay(delayUntilTick())
             }
         }
     }
 
-    /** Time until the core has something to do. A due time that has passed is that of a tick that waits in [inputs]. */
-    private fun untilTick(): Duration {
-        val longest = settings.heartbeat / TICKS_PER_HEARTBEAT
-        val left = due - clock.monotonic()
-        return if (left <= Duration.ZERO) longest else minOf(left, longest)
+    /** Returns the time until the next tick. If the due time has passed, the tick for it already waits in [inputs]. */
+    private fun delayUntilTick(): Duration {
+        val maxDelay = settings.heartbeatInterval / TICKS_PER_HEARTBEAT
+        val remaining = dueAt - clock.monotonic()
+        return if (remaining <= Duration.ZERO) maxDelay else minOf(remaining, maxDelay)
     }
 
-    /** Feeds the core, all waiting inputs as one batch. */
-    private suspend fun drive(core: RaftCore) {
+    /** Passes the inputs to the core, all waiting ones as one batch. */
+    private suspend fun runCore(core: RaftCore) {
         for (first in inputs) {
             first(core)
             var next = inputs.tryReceive().getOrNull()
@@ -186,47 +186,47 @@
                 next(core)
                 next = inputs.tryReceive().getOrNull()
             }
-            val output = core.take(clock.monotonic())
+            val output = core.takeOutput(clock.monotonic())
             leaseEnd = core.leaseEnd(clock.monotonic())
-            due = core.due
-            note(core.status())
-            output.atOnce.forEach(::perform)
-            if (!output.isEmpty) complete(output)
+            dueAt = core.dueAt
+            publishStatus(core.status())
+            output.immediateEffects.forEach(::perform)
+            if (!output.isEmpty) dispatch(output)
         }
     }
 
-    private fun note(next: LogStatus) {
-        val isNews = next.role != status.role || next.leader != status.leader
+    private fun publishStatus(next: LogStatus) {
+        val isLeadershipChange = next.role != status.role || next.leader != status.leader
         status = next
-        if (isNews) listener.onLeadership(next)
+        if (isLeadershipChange) listener.onLeadership(next)
     }
 
-    /** What waits for no write is done at once, without a way through the thread of the disk. */
-    private fun complete(output: Output) {
-        if (output.writes.isEmpty() && unfinished.get() == 0) return output.afterSync.forEach(::perform)
-        unfinished.incrementAndGet()
+    /** Performs the effects that must wait for a sync: on the disk thread after its writes, or immediately if no write is pending. */
+    private fun dispatch(output: Output) {
+        if (output.writes.isEmpty() && unfinishedOutputs.get() == 0) return output.effectsAfterSync.forEach(::perform)
+        unfinishedOutputs.incrementAndGet()
         outputs.trySend(output)
     }
 
-    /** Makes outputs durable, all waiting ones with as few syncs as possible, and then performs what waited for it. */
-    private suspend fun persist() {
+    /** Makes the writes of all waiting outputs durable with as few syncs as possible, and then performs the effects that depend on them. */
+    private suspend fun persistOutputs() {
         for (first in outputs) {
             val batch = arrayListOf(first)
             while (true) batch += outputs.tryReceive().getOrNull() ?: break
             val writes = batch.flatMap { it.writes }
             val error = if (writes.isEmpty()) null else storage.persist(writes)
-            if (error != null) return fail(error)
-            inputs.trySend { it.onSynced(batch.last().number) }
-            batch.forEach { output -> output.afterSync.forEach(::perform) }
-            unfinished.addAndGet(-batch.size)
+            if (error != null) return stopAfterFailure(error)
+            inputs.trySend { it.onSynced(batch.last().sequenceNumber) }
+            batch.forEach { output -> output.effectsAfterSync.forEach(::perform) }
+            unfinishedOutputs.addAndGet(-batch.size)
         }
     }
 
     private fun perform(effect: Effect) {
         when (effect) {
             is Effect.Send -> scope.launch { send(effect) }
-            is Effect.Reply -> calls.remove(effect.call)?.complete(effect.response)
-            is Effect.Finish -> proposals.remove(effect.proposal)?.complete(effect.result)
+            is Effect.Reply -> pendingCalls.remove(effect.call)?.complete(effect.response)
+            is Effect.CompleteProposal -> pendingProposals.remove(effect.proposal)?.complete(effect.result)
         }
     }
 
@@ -240,31 +240,31 @@
         inputs.trySend { it.onResponse(clock.monotonic(), effect.to, effect.request, response) }
     }
 
-    /** Returns the answer of the core, or null if this member has stopped. */
-    private suspend fun answer(request: PeerRequest): PeerResponse? {
-        val call = numbers.incrementAndGet()
+    /** Passes [request] to the core and returns its answer, or null if this member has stopped. */
+    private suspend fun submitRequest(request: PeerRequest): PeerResponse? {
+        val call = lastId.incrementAndGet()
         val answer = CompletableDeferred<PeerResponse>(scope.coroutineContext.job)
-        calls[call] = answer
-        val isTaken = inputs.trySend { it.onRequest(clock.monotonic(), call, request) }.isSuccess
-        if (!isTaken) answer.cancel()
+        pendingCalls[call] = answer
+        val isAccepted = inputs.trySend { it.onRequest(clock.monotonic(), call, request) }.isSuccess
+        if (!isAccepted) answer.cancel()
         answer.join()
-        calls.remove(call)
+        pendingCalls.remove(call)
         return if (answer.isCancelled) null else answer.await()
     }
 
-    private suspend fun finish(input: (RaftCore, Long) -> Unit): ProposalResult {
-        val id = numbers.incrementAndGet()
+    private suspend fun submitProposal(input: (RaftCore, Long) -> Unit): ProposalResult {
+        val id = lastId.incrementAndGet()
         val result = CompletableDeferred<ProposalResult>(scope.coroutineContext.job)
-        proposals[id] = result
-        val isTaken = inputs.trySend { input(it, id) }.isSuccess
-        if (!isTaken) result.cancel()
+        pendingProposals[id] = result
+        val isAccepted = inputs.trySend { input(it, id) }.isSuccess
+        if (!isAccepted) result.cancel()
         result.join()
-        proposals.remove(id)
-        if (!isTaken) return ProposalResult.NotLeader(null)
+        pendingProposals.remove(id)
+        if (!isAccepted) return ProposalResult.NotLeader(null)
         return if (result.isCancelled) ProposalResult.Unknown else result.await()
     }
 
-    private fun fail(error: StorageError) {
+    private fun stopAfterFailure(error: StorageError) {
         listener.onStorageFailure(error)
         stop()
     }
@@ -277,6 +277,6 @@
 
     private companion object {
         const val TICKS_PER_HEARTBEAT = 2
-        val NO_MEMBERS = Membership(0, emptyList(), emptyList(), emptyList())
+        val EMPTY_MEMBERSHIP = Membership(0, emptyList(), emptyList(), emptyList())
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogSettings.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogSettings.kt
@@ -4,47 +4,51 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Timing and size limits of one member. All members of a cluster use the same [electionMillis].
+ * Timing and size limits of one member. All members of a cluster must use the same [electionMillis].
  *
- * @property electionMillis shortest time without a leader before an election (ms)
- * @property heartbeatMillis time between heartbeats of the leader (ms)
- * @property snapshotRecords applied records after which a snapshot replaces them
- * @property snapshotPart longest part of a snapshot in one message (characters)
- * @property learnerSilenceMillis longest time without an answer of a learner that is to vote (ms); then its change is given up, so that
- * others may follow
- * @property electsAtStart true if a member that has just started may vote and stand at once. Only where nobody reads under the leader's
- * lease: what a member promised a leader before it ended is forgotten
- * @property namesReceiver true if messages tell the id that they are for, and a member whose folder was emptied comes back under a new
- * id, so that no process answers for another one at its address or for what it has forgotten
+ * @property electionMillis minimum election timeout (ms): the shortest time without contact to a leader before a member starts an election
+ * @property heartbeatMillis interval between heartbeats of the leader (ms)
+ * @property snapshotRecords number of applied records after which a snapshot replaces them
+ * @property maxSnapshotChunkCharacters maximum size of the part of a snapshot that one message carries (characters)
+ * @property learnerSilenceMillis longest time that a learner which is to become a voter may leave requests unanswered (ms). After it the
+ * membership change is abandoned, so that it does not block other changes
+ * @property electsAtStart true if a member may vote and start an election immediately after it started. Safe only if nobody relies on
+ * the leader's lease, because a restarted member has forgotten that it recently acknowledged a leader
+ * @property namesReceiver true if each message carries the id of its receiver and a member whose data folder was emptied returns under a
+ * new id. Then no process can answer for another member at the same address, or for the member that lost its state
  */
 data class LogSettings(
     val electionMillis: Long = 400,
     val heartbeatMillis: Long = 125,
     val snapshotRecords: Int = 2000,
-    val snapshotPart: Int = 65_536,
+    val maxSnapshotChunkCharacters: Int = 65_536,
     val learnerSilenceMillis: Long = 60_000,
     val electsAtStart: Boolean = false,
     val namesReceiver: Boolean = false,
 ) {
-    internal val election: Duration get() = electionMillis.milliseconds
+    internal val electionTimeout: Duration get() = electionMillis.milliseconds
 
-    internal val heartbeat: Duration get() = heartbeatMillis.milliseconds
+    internal val heartbeatInterval: Duration get() = heartbeatMillis.milliseconds
 
-    internal val learnerSilence: Duration get() = learnerSilenceMillis.milliseconds
+    internal val learnerTimeout: Duration get() = learnerSilenceMillis.milliseconds
 
-    /** A leader without a majority of answers for this long steps down. */
-    internal val stepDown: Duration get() = election * 2
+    /** A leader that has no answers from a majority for this long steps down. */
+    internal val stepDownTimeout: Duration get() = electionTimeout * 2
 
-    /** The lease is shorter than the election time, so that clocks may differ in rate by a twentieth. */
-    internal val lease: Duration get() = election * LEASE_SHARE
+    /** Shorter than the election timeout, so that the lease holds although the clocks of two members differ in rate by up to 5%. */
+    internal val leaseDuration: Duration get() = electionTimeout * LEASE_FRACTION
 
-    /** Returns the span of the chance before the [attempt]th election after a start: short at first, for the members start together. */
-    internal fun startSpan(attempt: Int): Duration = minOf(election, START_SPAN * (1 shl minOf(attempt, MOST_DOUBLINGS)))
+    /**
+     * Returns the width of the random delay before the election number [attempt] after a start. It is short at first, because all members
+     * may have started at the same time and have no leader yet, and doubles with each attempt up to the election timeout.
+     */
+    internal fun startupElectionWindow(attempt: Int): Duration =
+        minOf(electionTimeout, INITIAL_WINDOW * (1 shl minOf(attempt, MAX_DOUBLINGS)))
 
     private companion object {
-        /** Several round trips and writes to disk, so that two members seldom stand at once. */
-        val START_SPAN = 70.milliseconds
-        const val MOST_DOUBLINGS = 10
-        const val LEASE_SHARE = 0.95
+        /** Long enough for several round trips and disk writes, so that two members seldom become candidates at the same time. */
+        val INITIAL_WINDOW = 70.milliseconds
+        const val MAX_DOUBLINGS = 10
+        const val LEASE_FRACTION = 0.95
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogStart.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogStart.kt
@@ -1,11 +1,11 @@
 package io.bluebellramp.replication
 
-/** What starting a [LogMember] gave. */
+/** The result of [LogMember.start]. */
 sealed interface LogStart {
-    /** The member runs. */
+    /** The member is running. */
     data object Started : LogStart
 
-    /** The data folder can't be used; the member does not run. */
+    /** The data folder could not be opened or written; the member is not running. */
     data class Refused(
         val error: StorageError,
     ) : LogStart
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogStorage.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogStorage.kt
@@ -6,20 +6,21 @@
 import kotlinx.serialization.Serializable
 
 /**
- * The durable state of a member besides its log.
+ * The durable state of a member except its snapshot and its log records.
  *
- * @property stage how far the founding of the cluster has come, see [FoundingStage]
+ * @property stage the progress of the member in the bootstrap of the cluster, one of the values of [BootstrapStage]
+ * @property joining true if the member started empty and waits to be added to an existing cluster
  */
 @Serializable
 internal data class VoteState(
     val member: MemberId,
     val term: Long = 0,
     val votedFor: MemberId? = null,
-    val stage: Int = FoundingStage.NEW,
+    val stage: Int = BootstrapStage.NEW,
     val joining: Boolean = false,
 )
 
-/** A snapshot of the state machine and of the membership as of [index]. */
+/** A snapshot of the state machine and of the membership after the record at [index] was applied. */
 @Serializable
 internal data class StoredSnapshot(
     val index: Long,
@@ -28,38 +29,38 @@
     val body: String,
 )
 
-/** What a data folder holds. [vote] is null if the folder is empty. */
+/** The content of a data folder. [vote] is null if the folder is empty. */
 internal data class StoredState(
     val vote: VoteState?,
     val snapshot: StoredSnapshot?,
     val records: List<LogRecord>,
 )
 
-/** A change of the durable state. Changes are made durable in the order given. */
+/** A change of the durable state. Changes are made durable in the given order. */
 internal sealed interface StorageWrite {
     /** Replaces the [VoteState]. */
     data class Vote(
         val state: VoteState,
     ) : StorageWrite
 
-    /** Appends [records] and drops all earlier records from the first index on. */
+    /** Appends [records], which replace all stored records from the index of the first one on. */
     data class Append(
         val records: List<LogRecord>,
     ) : StorageWrite
 
-    /** Replaces the snapshot and the whole log by [snapshot] and [remaining]. */
+    /** Replaces the stored snapshot by [snapshot], and the whole log by the records [remaining]. */
     data class Snapshot(
         val snapshot: StoredSnapshot,
         val remaining: List<LogRecord>,
     ) : StorageWrite
 }
 
-/** Why a data folder can't be used. */
+/** The reason why a data folder can't be used. */
 sealed interface StorageError {
-    /** One sentence for people. */
+    /** A description of the error for operators. */
     val message: String
 
-    /** The folder holds the state of [found], another member. */
+    /** The folder holds the state of another member, [found]. */
     data class OtherMember(
         val folder: String,
         val found: MemberId,
@@ -67,7 +68,7 @@
         override val message get() = "data folder $folder belongs to member $found"
     }
 
-    /** [file] is damaged at [offset] (bytes), before its end. */
+    /** [file] is corrupt at [offset] (bytes), which is not explained by a torn last write. */
     data class Corrupt(
         val file: String,
         val offset: Long,
@@ -83,28 +84,28 @@
         override val message get() = "data folder $folder is in use by another process"
     }
 
-    /** The file system refused an operation. */
+    /** A file system operation failed. */
     data class Failed(
         override val message: String,
     ) : StorageError
 }
 
-/** What opening a storage gave. */
-internal sealed interface StorageOpening {
+/** The result of [LogStorage.open]. */
+internal sealed interface StorageOpenResult {
     data class Opened(
         val state: StoredState,
-    ) : StorageOpening
+    ) : StorageOpenResult
 
     data class Refused(
         val error: StorageError,
-    ) : StorageOpening
+    ) : StorageOpenResult
 }
 
-/** Keeps the durable state of one member. Used from one thread at a time. */
+/** Stores the durable state of one member. Not thread-safe. */
 internal interface LogStorage : AutoCloseable {
-    /** Reads the state for [member] and takes exclusive use of it. */
-    fun open(member: MemberId): StorageOpening
+    /** Locks the storage for this process and reads the state of [member]. */
+    fun open(member: MemberId): StorageOpenResult
 
-    /** Makes [writes] durable, all of them before it returns. Returns an error after which the storage must not be used again. */
+    /** Makes [writes] durable before it returns. Returns null, or an error after which the storage must not be used again. */
     fun persist(writes: List<StorageWrite>): StorageError?
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/Majority.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/Majority.kt
@@ -2,21 +2,21 @@
 
 import io.bluebellramp.core.MemberId
 
-/** Tells whether [granted] holds a majority of each of [sets]. */
+/** Returns true if [members] contains a majority of each of [voterSets]. */
 internal fun hasMajority(
-    sets: List<Set<MemberId>>,
-    granted: Set<MemberId>,
-): Boolean = sets.isNotEmpty() && sets.all { set -> set.count { it in granted } > set.size / 2 }
+    voterSets: List<Set<MemberId>>,
+    members: Set<MemberId>,
+): Boolean = voterSets.isNotEmpty() && voterSets.all { set -> set.count { it in members } > set.size / 2 }
 
-/** Returns the highest value that a majority of each of [sets] has reached, or null if there is none. */
+/** Returns the highest value that a majority of each of [voterSets] has majorityValues, or null if some set has no such value. */
 internal fun <T : Comparable<T>> majorityValue(
-    sets: List<Set<MemberId>>,
+    voterSets: List<Set<MemberId>>,
     value: (MemberId) -> T?,
 ): T? {
-    val reached =
-        sets.map { set ->
+    val majorityValues =
+        voterSets.map { set ->
             val values = set.mapNotNull(value).sortedDescending()
             values.getOrNull(set.size / 2) ?: return null
         }
-    return reached.minOrNull()
+    return majorityValues.minOrNull()
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/MemberState.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/MemberState.kt
@@ -6,57 +6,63 @@
 import io.bluebellramp.messages.RecordKind
 import kotlin.time.Duration
 
-/** The state that the parts of [RaftCore] share. */
+/** The state of a member that the parts of [RaftCore] share. */
 internal class MemberState(
     val self: MemberAddress,
     val settings: LogSettings,
-    val machine: StateMachine,
+    val stateMachine: StateMachine,
     stored: StoredState,
-    started: Duration,
+    startedAt: Duration,
 ) {
     val outbox = Outbox()
     val log = RecordLog(stored.snapshot, stored.records)
-    val sync = SyncedIndex(log.lastIndex)
-    val pending = HashMap<Long, Long>()
+    val syncedIndex = SyncedIndex(log.lastIndex)
+
+    /** The uncommitted proposals of this leader: proposal by index of its record. */
+    val pendingProposals = HashMap<Long, Long>()
+
     var vote = stored.vote ?: VoteState(self.member)
     var role = Role.FOLLOWER
     var leader: MemberAddress? = null
 
-    /** When this member last heard a leader. Where leases count, it counts from the start, since what it heard before is forgotten. */
-    var heardAt = if (settings.electsAtStart) started - settings.election else started
+    /**
+     * The time of the last message from a leader. A restarted member has forgotten it. Unless [LogSettings.electsAtStart] is set, it
+     * assumes that a leader contacted it just before its start, so that it does not break a lease.
+     */
+    var lastLeaderContact = if (settings.electsAtStart) startedAt - settings.electionTimeout else startedAt
     var commitIndex = log.snapshotIndex
     var appliedIndex = log.snapshotIndex
 
     init {
-        stored.snapshot?.let { machine.restore(it.body) }
+        stored.snapshot?.let { stateMachine.restore(it.body) }
     }
 
     val id: MemberId get() = self.member
     val term get() = vote.term
-    val isActive get() = vote.stage == FoundingStage.ACTIVE
+    val isActive get() = vote.stage == BootstrapStage.ACTIVE
     val isVoter get() = log.membership.voters.any { it.member == id }
 
-    /** Tells whether [member] is retired by a committed membership. */
+    /** Returns true if the committed membership lists [member] as retired. */
     fun isRetired(member: MemberId) = member in log.membershipAt(commitIndex).retired
 
-    fun save(next: VoteState) {
+    fun saveVote(next: VoteState) {
         if (next == vote) return
         vote = next
         outbox.write(StorageWrite.Vote(next))
     }
 
-    /** Follows [next] in [term]; drops the vote if the term is new. */
-    fun follow(
+    /** Becomes a follower of [next], null if unknown, in [term]. A new term clears the vote, and pending proposals end as unknown. */
+    fun becomeFollower(
         term: Long,
         next: MemberAddress?,
     ) {
-        if (term > vote.term) save(vote.copy(term = term, votedFor = null))
-        abandon()
+        if (term > vote.term) saveVote(vote.copy(term = term, votedFor = null))
+        abandonProposals()
         role = Role.FOLLOWER
         leader = next
     }
 
-    /** Appends a record of the own term and returns its index. */
+    /** Appends a record of the current term and returns its index. */
     fun append(
         kind: RecordKind,
         body: String,
@@ -67,52 +73,55 @@
         return record.index
     }
 
-    /** Commits up to [index] and applies what is new. */
+    /** Raises the commit index to [index] and applies the newly committed records. */
     fun commit(index: Long) {
         if (index <= commitIndex) return
         commitIndex = index
         while (appliedIndex < commitIndex) apply(log.record(appliedIndex + 1))
-        compact()
+        compactLog()
     }
 
-    /** Takes over [snapshot], which is ahead of the commit index. */
-    fun install(snapshot: StoredSnapshot) {
-        log.restart(snapshot)
-        sync.truncated(snapshot.index + 1)
-        machine.restore(snapshot.body)
+    /** Installs [snapshot], which is ahead of the commit index. */
+    fun installSnapshot(snapshot: StoredSnapshot) {
+        log.resetToSnapshot(snapshot)
+        syncedIndex.truncateFrom(snapshot.index + 1)
+        stateMachine.restore(snapshot.body)
         commitIndex = snapshot.index
         appliedIndex = snapshot.index
-        outbox.write(StorageWrite.Snapshot(snapshot, log.from(snapshot.index + 1)))
+        outbox.write(StorageWrite.Snapshot(snapshot, log.recordsFrom(snapshot.index + 1)))
     }
 
     private fun apply(record: LogRecord) {
-        val answer = if (record.kind == RecordKind.COMMAND) machine.apply(record.index, record.body) else ""
+        val answer = if (record.kind == RecordKind.COMMAND) stateMachine.apply(record.index, record.body) else ""
         appliedIndex = record.index
-        val proposal = pending.remove(record.index) ?: return
-        outbox.finish(proposal, ProposalResult.Applied(record.index, answer))
+        val proposal = pendingProposals.remove(record.index) ?: return
+        outbox.completeProposal(proposal, ProposalResult.Applied(record.index, answer))
     }
 
-    /** A change of the voters that is not confirmed stays in the log: a snapshot would hide that it needs both majorities. */
-    private fun compact() {
-        if (log.isJoint || appliedIndex - log.snapshotIndex < snapshotRecords()) return
+    /**
+     * Replaces the applied records by a snapshot if there are enough of them. Not while a change of the voters is unconfirmed: the
+     * snapshot would hide that both the old and the new majority are needed.
+     */
+    private fun compactLog() {
+        if (log.isJoint || appliedIndex - log.snapshotIndex < snapshotThreshold()) return
         val term = checkNotNull(log.termAt(appliedIndex))
-        val snapshot = StoredSnapshot(appliedIndex, term, log.membershipAt(appliedIndex), machine.snapshot())
-        log.restart(snapshot)
-        outbox.write(StorageWrite.Snapshot(snapshot, log.from(appliedIndex + 1)))
+        val snapshot = StoredSnapshot(appliedIndex, term, log.membershipAt(appliedIndex), stateMachine.snapshot())
+        log.resetToSnapshot(snapshot)
+        outbox.write(StorageWrite.Snapshot(snapshot, log.recordsFrom(appliedIndex + 1)))
     }
 
-    /** Each member takes its snapshots at other indexes, so that a majority goes on syncing records meanwhile. */
-    private fun snapshotRecords(): Int {
+    /** Differs by member, so that the members take snapshots at different indexes and a majority can sync records meanwhile. */
+    private fun snapshotThreshold(): Int {
         val position = log.membership.voters.indexOfFirst { it.member == id }
-        return settings.snapshotRecords + settings.snapshotRecords * (position + 1) / SNAPSHOT_SPREAD
+        return settings.snapshotRecords + settings.snapshotRecords * (position + 1) / SNAPSHOT_STAGGER_DIVISOR
     }
 
-    private fun abandon() {
-        pending.values.forEach { outbox.finish(it, ProposalResult.Unknown) }
-        pending.clear()
+    private fun abandonProposals() {
+        pendingProposals.values.forEach { outbox.completeProposal(it, ProposalResult.Unknown) }
+        pendingProposals.clear()
     }
 
     private companion object {
-        const val SNAPSHOT_SPREAD = 8
+        const val SNAPSHOT_STAGGER_DIVISOR = 8
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/MembershipChanges.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/MembershipChanges.kt
@@ -12,22 +12,27 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Changes the members, one change at a time.
+ * Performs membership changes, one at a time.
  *
- * A new member is a learner first. Once it has the log nearly up to the commit index, one record makes it a voter and, in a
- * replacement, retires the old one. That record needs a majority of the old and of the new voters; a second record with the same
- * members confirms it.
+ * A new member is a learner first. Once its log is close enough to the commit index, one membership record makes it a voter and, in a
+ * replacement, retires the old member. Committing that record needs a majority of the old and of the new voters. A second record with the
+ * same members confirms the change.
  */
 internal class MembershipChanges(
     private val state: MemberState,
     private val leader: Leader,
 ) {
+    /**
+     * A change under way.
+     *
+     * @property learnerRecordIndex index of the record that added the learner to promote, or null if the change needs no further step
+     */
     private class Change(
         val proposal: Long,
         val request: MembershipRequest,
         val term: Long,
         val startedAt: Duration,
-        var learnerIndex: Long?,
+        var learnerRecordIndex: Long?,
     )
 
     private val log get() = state.log
@@ -41,85 +46,85 @@
         val result =
             when {
                 state.role != Role.LEADER -> ProposalResult.NotLeader(state.leader)
-                !leader.isConfirmed -> ProposalResult.Refused("the leader has just been elected")
+                !leader.hasAppliedOwnTerm -> ProposalResult.Refused("the leader has just been elected")
                 change != null || log.isJoint || !isCommitted() -> ProposalResult.Refused("another change is under way")
-                else -> refusal(request)?.let { ProposalResult.Refused(it) }
+                else -> refusalReason(request)?.let { ProposalResult.Refused(it) }
             }
-        if (result != null) return state.outbox.finish(proposal, result)
+        if (result != null) return state.outbox.completeProposal(proposal, result)
         change = Change(proposal, request, state.term, now, null)
-        begin(request)
+        startChange(request)
     }
 
-    /** Takes the next step if the last one is committed. */
+    /** Performs the next step of the change once the previous one is committed. */
     fun advance(now: Duration) {
         val current = change
         if (current != null && (state.role != Role.LEADER || state.term != current.term)) {
             change = null
-            state.outbox.finish(current.proposal, ProposalResult.Unknown)
+            state.outbox.completeProposal(current.proposal, ProposalResult.Unknown)
         }
-        if (!leader.isConfirmed || !isCommitted()) return
-        if (log.isJoint) return record(log.membership)
-        val open = change ?: return
+        if (!leader.hasAppliedOwnTerm || !isCommitted()) return
+        if (log.isJoint) return appendMembership(log.membership)
+        val openChange = change ?: return
         when {
-            open.learnerIndex == null -> finish(open)
-            isHopeless(now, open) -> giveUp(open)
-            else -> promote(open)
+            openChange.learnerRecordIndex == null -> completeChange(openChange)
+            hasTimedOut(now, openChange) -> abandonChange(openChange)
+            else -> promoteLearner(openChange)
         }
     }
 
-    private fun isHopeless(
+    private fun hasTimedOut(
         now: Duration,
-        open: Change,
+        openChange: Change,
     ): Boolean {
-        val heard = maxOf(leader.heardFrom(open.request.member) ?: open.startedAt, open.startedAt)
-        return now - open.startedAt > CATCH_UP_LIMIT || now - heard > state.settings.learnerSilence
+        val lastContactAt = maxOf(leader.lastContactAt(openChange.request.member) ?: openChange.startedAt, openChange.startedAt)
+        return now - openChange.startedAt > CATCH_UP_TIMEOUT || now - lastContactAt > state.settings.learnerTimeout
     }
 
     private fun isCommitted() = log.membership.index <= state.commitIndex
 
-    private fun begin(request: MembershipRequest) {
-        if (request.action == MembershipAction.REMOVE) return record(without(log.membership, request.member))
+    private fun startChange(request: MembershipRequest) {
+        if (request.action == MembershipAction.REMOVE) return appendMembership(withoutMember(log.membership, request.member))
         val learner = MemberAddress(request.member, checkNotNull(request.address))
         if (learner !in log.membership.learners) {
-            record(log.membership.copy(learners = log.membership.learners + learner))
+            appendMembership(log.membership.copy(learners = log.membership.learners + learner))
         }
-        if (request.action != MembershipAction.LEARN) change?.learnerIndex = log.membership.index
+        if (request.action != MembershipAction.LEARN) change?.learnerRecordIndex = log.membership.index
     }
 
-    private fun promote(open: Change) {
-        val match = leader.matchOf(open.request.member)
-        if (match < checkNotNull(open.learnerIndex) || match + NEARLY < state.commitIndex) return
-        val learner = log.membership.learners.single { it.member == open.request.member }
-        val grown =
+    private fun promoteLearner(openChange: Change) {
+        val matchIndex = leader.matchIndexOf(openChange.request.member)
+        if (matchIndex < checkNotNull(openChange.learnerRecordIndex) || matchIndex + MAX_RECORDS_BEHIND < state.commitIndex) return
+        val learner = log.membership.learners.single { it.member == openChange.request.member }
+        val withLearner =
             log.membership.copy(
                 voters = log.membership.voters + learner,
                 learners = log.membership.learners - learner,
             )
-        open.learnerIndex = null
-        record(open.request.replaces?.let { without(grown, it) } ?: grown)
+        openChange.learnerRecordIndex = null
+        appendMembership(openChange.request.replaces?.let { withoutMember(withLearner, it) } ?: withLearner)
     }
 
-    /** Drops a learner that can't be reached, so that it does not block other changes. Its id may be added again. */
-    private fun giveUp(open: Change) {
+    /** Removes a learner that does not answer or catch up, so that it does not block other changes. Its id may be added again. */
+    private fun abandonChange(openChange: Change) {
         change = null
-        record(log.membership.copy(learners = log.membership.learners.filter { it.member != open.request.member }))
-        val silence = state.settings.learnerSilence
-        val reason = "member ${open.request.member} did not catch up within $CATCH_UP_LIMIT, or was silent for $silence"
-        state.outbox.finish(open.proposal, ProposalResult.Refused(reason))
+        appendMembership(log.membership.copy(learners = log.membership.learners.filter { it.member != openChange.request.member }))
+        val timeout = state.settings.learnerTimeout
+        val reason = "member ${openChange.request.member} did not catch up within $CATCH_UP_TIMEOUT, or was silent for $timeout"
+        state.outbox.completeProposal(openChange.proposal, ProposalResult.Refused(reason))
     }
 
-    private fun finish(open: Change) {
+    private fun completeChange(openChange: Change) {
         change = null
         val answer = WireJson.encodeToString(log.membership)
-        state.outbox.finish(open.proposal, ProposalResult.Applied(log.membership.index, answer))
+        state.outbox.completeProposal(openChange.proposal, ProposalResult.Applied(log.membership.index, answer))
     }
 
-    private fun record(next: Membership) {
+    private fun appendMembership(next: Membership) {
         val body = next.copy(index = log.lastIndex + 1)
         state.append(RecordKind.MEMBERSHIP, WireJson.encodeToString(body))
     }
 
-    private fun without(
+    private fun withoutMember(
         from: Membership,
         member: MemberId,
     ) = from.copy(
@@ -128,14 +133,14 @@
         retired = from.retired + member,
     )
 
-    private fun refusal(request: MembershipRequest): String? =
+    private fun refusalReason(request: MembershipRequest): String? =
         when (request.action) {
-            MembershipAction.ADD, MembershipAction.LEARN -> refusalToAdd(request)
-            MembershipAction.REPLACE -> refusalToAdd(request) ?: refusalToRemove(request.replaces)
-            MembershipAction.REMOVE -> refusalToRemove(request.member)
+            MembershipAction.ADD, MembershipAction.LEARN -> reasonNotToAdd(request)
+            MembershipAction.REPLACE -> reasonNotToAdd(request) ?: reasonNotToRemove(request.replaces)
+            MembershipAction.REMOVE -> reasonNotToRemove(request.member)
         }
 
-    private fun refusalToAdd(request: MembershipRequest): String? {
+    private fun reasonNotToAdd(request: MembershipRequest): String? {
         val address = request.address ?: return "an address is required"
         val members = log.membership
         val learner = members.learners.find { it.member == request.member }
@@ -143,22 +148,22 @@
             request.member in members.retired -> "member ${request.member} is retired and never comes back"
             members.voters.any { it.member == request.member } -> "member ${request.member} is a voter already"
             learner != null && learner.address != address -> "member ${request.member} joins at ${learner.address}"
-            learner == null && isUsed(address, request) -> "$address is in use"
+            learner == null && isAddressInUse(address, request) -> "$address is in use"
             else -> null
         }
     }
 
-    /** Where messages name their receiver, a member whose folder was emptied is replaced at its own address. */
-    private fun isUsed(
+    /** With [LogSettings.namesReceiver], a member whose folder was emptied may be replaced by a new member at the same address. */
+    private fun isAddressInUse(
         address: Address,
         request: MembershipRequest,
     ): Boolean {
-        val users = (log.membership.voters + log.membership.learners).filter { it.address == address }
+        val membersAtAddress = (log.membership.voters + log.membership.learners).filter { it.address == address }
         val mayShare = state.settings.namesReceiver && request.replaces != null
-        return users.any { !mayShare || it.member != request.replaces }
+        return membersAtAddress.any { !mayShare || it.member != request.replaces }
     }
 
-    private fun refusalToRemove(member: MemberId?): String? {
+    private fun reasonNotToRemove(member: MemberId?): String? {
         val members = log.membership
         val isVoter = members.voters.any { it.member == member }
         return when {
@@ -171,10 +176,10 @@
     }
 
     private companion object {
-        /** Records that a learner may lack when it becomes a voter. */
-        const val NEARLY = 16L
+        /** Maximum distance of a learner's log from the commit index at which the learner becomes a voter. */
+        const val MAX_RECORDS_BEHIND = 16L
 
-        /** Longest time that a learner may take to catch up. */
-        val CATCH_UP_LIMIT = 60.seconds
+        /** Time for a learner to catch up before the change is abandoned. */
+        val CATCH_UP_TIMEOUT = 60.seconds
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/Output.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/Output.kt
@@ -9,7 +9,7 @@
 import io.bluebellramp.messages.VoteRequest
 import io.bluebellramp.messages.VoteResponse
 
-/** A request between members. */
+/** A request from one member to another. */
 internal sealed interface PeerRequest {
     data class Vote(
         val body: VoteRequest,
@@ -39,53 +39,53 @@
     ) : PeerResponse
 }
 
-/** What the shell has to do for the core. */
+/** An action that [RaftCore] asks its owner to perform, because it does no I/O itself. */
 internal sealed interface Effect {
-    /** Sends [request] and passes its answer, or null, to [RaftCore.onResponse]. */
+    /** Sends [request] to [to] and passes the answer, or null if none came, to [RaftCore.onResponse]. */
     data class Send(
         val to: MemberAddress,
         val request: PeerRequest,
     ) : Effect
 
-    /** Answers the request that came in as [call]. */
+    /** Answers the request that was passed to [RaftCore.onRequest] as [call]. */
     data class Reply(
         val call: Long,
         val response: PeerResponse,
     ) : Effect
 
-    /** Answers the proposal [proposal]. */
-    data class Finish(
+    /** Completes [proposal] with [result]. */
+    data class CompleteProposal(
         val proposal: Long,
         val result: ProposalResult,
     ) : Effect
 }
 
 /**
- * The outcome of a batch of inputs.
+ * The result of a batch of inputs to [RaftCore].
  *
- * @property number counts the outputs; it is passed to [RaftCore.onSynced] once [writes] are durable
- * @property atOnce effects that need no durable state
- * @property afterSync effects that may be seen only once [writes] and those of all earlier outputs are durable
+ * @property sequenceNumber consecutive number of the output, to be passed to [RaftCore.onSynced] once [writes] are durable
+ * @property immediateEffects effects that depend on no durable state and may be performed immediately
+ * @property effectsAfterSync effects that may be performed only once [writes] and the writes of all earlier outputs are durable
  */
 internal class Output(
-    val number: Long,
+    val sequenceNumber: Long,
     val writes: List<StorageWrite>,
-    val atOnce: List<Effect>,
-    val afterSync: List<Effect>,
+    val immediateEffects: List<Effect>,
+    val effectsAfterSync: List<Effect>,
 ) {
-    val isEmpty get() = writes.isEmpty() && atOnce.isEmpty() && afterSync.isEmpty()
+    val isEmpty get() = writes.isEmpty() && immediateEffects.isEmpty() && effectsAfterSync.isEmpty()
 }
 
-/** Collects the effects of a batch of inputs. */
+/** Collects the writes and effects of a batch of inputs until [takeOutput] returns them. */
 internal class Outbox {
     private var writes = ArrayList<StorageWrite>()
-    private var atOnce = ArrayList<Effect>()
-    private var afterSync = ArrayList<Effect>()
-    private var number = 0L
+    private var immediateEffects = ArrayList<Effect>()
+    private var effectsAfterSync = ArrayList<Effect>()
+    private var sequenceNumber = 0L
 
     fun write(write: StorageWrite) {
         val last = writes.lastOrNull()
-        if (write is StorageWrite.Append && last is StorageWrite.Append && follows(last.records, write.records)) {
+        if (write is StorageWrite.Append && last is StorageWrite.Append && isContiguous(last.records, write.records)) {
             writes[writes.size - 1] = StorageWrite.Append(last.records + write.records)
         } else {
             writes += write
@@ -96,39 +96,39 @@
         to: MemberAddress,
         request: PeerRequest,
     ) {
-        atOnce += Effect.Send(to, request)
+        immediateEffects += Effect.Send(to, request)
     }
 
     fun sendAfterSync(
         to: MemberAddress,
         request: PeerRequest,
     ) {
-        afterSync += Effect.Send(to, request)
+        effectsAfterSync += Effect.Send(to, request)
     }
 
     fun reply(
         call: Long,
         response: PeerResponse,
     ) {
-        afterSync += Effect.Reply(call, response)
+        effectsAfterSync += Effect.Reply(call, response)
     }
 
-    fun finish(
+    fun completeProposal(
         proposal: Long,
         result: ProposalResult,
     ) {
-        atOnce += Effect.Finish(proposal, result)
+        immediateEffects += Effect.CompleteProposal(proposal, result)
     }
 
-    fun take(): Output {
-        val output = Output(++number, writes, atOnce, afterSync)
+    fun takeOutput(): Output {
+        val output = Output(++sequenceNumber, writes, immediateEffects, effectsAfterSync)
         writes = ArrayList()
-        atOnce = ArrayList()
-        afterSync = ArrayList()
+        immediateEffects = ArrayList()
+        effectsAfterSync = ArrayList()
         return output
     }
 
-    private fun follows(
+    private fun isContiguous(
         first: List<LogRecord>,
         second: List<LogRecord>,
     ) = second.first().index == first.last().index + 1
--- a/replication/src/main/kotlin/io/bluebellramp/replication/RaftCore.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/RaftCore.kt
@@ -7,48 +7,48 @@
 import kotlin.time.Duration
 
 /**
- * One member of the replicated log as a state machine without I/O: it is given the time and its inputs, and [take] returns what to
- * write and send. Used from one thread at a time.
+ * The Raft algorithm of one member, without I/O: the caller passes in the time and the inputs, and [takeOutput] returns what to write
+ * and what to send. Not thread-safe.
  *
- * Call [take] after each batch of inputs. Proposals of one batch share one write and one request to each member.
+ * Call [takeOutput] after each batch of inputs. All proposals of a batch share one write and one request to each member.
  */
 internal class RaftCore(
     self: MemberAddress,
-    founding: List<MemberAddress>,
+    foundingMembers: List<MemberAddress>,
     joining: Boolean,
     settings: LogSettings,
-    machine: StateMachine,
+    stateMachine: StateMachine,
     stored: StoredState,
     random: Random,
-    started: Duration,
+    startedAt: Duration,
 ) {
-    private val state = MemberState(self, settings, machine, stored, started)
+    private val state = MemberState(self, settings, stateMachine, stored, startedAt)
     private val leader = Leader(state)
-    private val elections = Elections(state, random, started) { leader.start(it) }
-    private val follower = Follower(state, started) { elections.heard(it) }
+    private val elections = Elections(state, random, startedAt) { leader.becomeLeader(it) }
+    private val follower = Follower(state, startedAt) { elections.onLeaderContact(it) }
     private val changes = MembershipChanges(state, leader)
-    private val bootstrap = Founding(state, founding)
+    private val bootstrap = ClusterBootstrap(state, foundingMembers)
 
     val role get() = state.role
     val term get() = state.term
     val stage get() = state.vote.stage
 
-    /** When the next heartbeat or election is due; inputs may change it. */
-    val due get() = if (state.role == Role.LEADER) leader.due else elections.due
+    /** The time of the next heartbeat or election. Inputs may change it. */
+    val dueAt get() = if (state.role == Role.LEADER) leader.nextHeartbeatAt else elections.dueAt
 
     init {
-        if (stored.vote == null) initialize(joining)
+        if (stored.vote == null) initializeVote(joining)
         if (!state.isVoter) state.role = Role.LEARNER
     }
 
-    /** Lets time pass. Call it at [due] and at least twice in each heartbeat. */
+    /** Performs what is due at [now]. Call it at [dueAt] and at least twice in each heartbeat interval. */
     fun onTick(now: Duration) {
-        bootstrap.tick(now)
-        leader.tick(now)
-        elections.tick(now)
+        bootstrap.onTick(now)
+        leader.onTick(now)
+        elections.onTick(now)
     }
 
-    /** Handles a request that is answered by a [Effect.Reply] for [call]. */
+    /** Handles a request of another member. The answer is an [Effect.Reply] for [call]. */
     fun onRequest(
         now: Duration,
         call: Long,
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Handles the answer of [from] to [request], or null if none came. */
+    /** Handles the answer of [from] to [request]. [response] is null if none came. */
     fun onResponse(
         now: Duration,
         from: MemberAddress,
@@ -70,53 +70,53 @@
     ) {
         when (request) {
             is PeerRequest.Vote -> {
-                onVoteAnswer(now, from, request, response)
+                onVoteResponse(now, from, request, response)
             }
 
             is PeerRequest.Append -> {
                 val body = (response as PeerResponse.Append?)?.body
-                if (body != null && body.term > state.term) return state.follow(body.term, null)
-                leader.onAppendAnswer(from, request.body, body)
+                if (body != null && body.term > state.term) return state.becomeFollower(body.term, null)
+                leader.onAppendResponse(from, request.body, body)
             }
 
             is PeerRequest.Snapshot -> {
                 val body = (response as PeerResponse.Snapshot?)?.body
-                if (body != null && body.term > state.term) return state.follow(body.term, null)
-                leader.onSnapshotAnswer(from, request.body, body)
+                if (body != null && body.term > state.term) return state.becomeFollower(body.term, null)
+                leader.onSnapshotResponse(from, request.body, body)
             }
         }
     }
 
-    /** Proposes [command]; the answer is the [Effect.Finish] for [proposal]. */
+    /** Proposes [command]. The result is an [Effect.CompleteProposal] for [proposal]. */
     fun onPropose(
         proposal: Long,
         command: String,
     ) {
-        if (state.role != Role.LEADER) return state.outbox.finish(proposal, ProposalResult.NotLeader(state.leader))
-        state.pending[state.append(RecordKind.COMMAND, command)] = proposal
+        if (state.role != Role.LEADER) return state.outbox.completeProposal(proposal, ProposalResult.NotLeader(state.leader))
+        state.pendingProposals[state.append(RecordKind.COMMAND, command)] = proposal
     }
 
-    /** Proposes a change of the members; the answer is the [Effect.Finish] for [proposal]. */
-    fun onChange(
+    /** Proposes a membership change. The result is an [Effect.CompleteProposal] for [proposal]. */
+    fun onMembershipChange(
         now: Duration,
         proposal: Long,
         request: MembershipRequest,
     ) = changes.propose(now, proposal, request)
 
-    /** The writes of all outputs up to [number] are durable. */
-    fun onSynced(number: Long) = state.sync.synced(number)
+    /** Call it once the writes of all outputs up to [outputNumber] are durable. */
+    fun onSynced(outputNumber: Long) = state.syncedIndex.markSynced(outputNumber)
 
-    /** Returns what to do since the last call. */
-    fun take(now: Duration): Output {
-        leader.flush(now)
+    /** Returns the writes and effects that the inputs since the last call gave rise to. */
+    fun takeOutput(now: Duration): Output {
+        leader.commitAndReplicate(now)
         changes.advance(now)
-        leader.flush(now)
-        val output = state.outbox.take()
-        if (output.writes.isNotEmpty()) state.sync.issued(output.number, state.log.lastIndex)
+        leader.commitAndReplicate(now)
+        val output = state.outbox.takeOutput()
+        if (output.writes.isNotEmpty()) state.syncedIndex.addPending(output.sequenceNumber, state.log.lastIndex)
         return output
     }
 
-    /** Returns until when no other leader can be elected, or null if this member is not a leader with a majority. */
+    /** Returns the time until which no other leader can be elected, or null if this member is not a leader confirmed by a majority. */
     fun leaseEnd(now: Duration): Duration? = leader.leaseEnd(now)
 
     fun status(): LogStatus =
@@ -128,24 +128,24 @@
             appliedIndex = state.appliedIndex,
             lastIndex = state.log.lastIndex,
             membership = state.log.membership,
-            matchIndexes = if (state.role == Role.LEADER) leader.matches() else emptyMap(),
+            matchIndexes = if (state.role == Role.LEADER) leader.matchIndexes() else emptyMap(),
             isJoint = state.log.isJoint,
         )
 
-    private fun initialize(joining: Boolean) {
-        val stage = if (joining) FoundingStage.ACTIVE else FoundingStage.NEW
-        val fresh = VoteState(state.id, stage = stage, joining = joining)
-        state.vote = fresh
-        state.outbox.write(StorageWrite.Vote(fresh))
+    private fun initializeVote(joining: Boolean) {
+        val stage = if (joining) BootstrapStage.ACTIVE else BootstrapStage.NEW
+        val initial = VoteState(state.id, stage = stage, joining = joining)
+        state.vote = initial
+        state.outbox.write(StorageWrite.Vote(initial))
     }
 
-    private fun onVoteAnswer(
+    private fun onVoteResponse(
         now: Duration,
         from: MemberAddress,
         request: PeerRequest.Vote,
         response: PeerResponse?,
     ) {
         val body = (response as PeerResponse.Vote?)?.body ?: return
-        if (request.body.founding) bootstrap.onAnswer(from, body) else elections.onAnswer(now, from, request.body, body)
+        if (request.body.founding) bootstrap.onVoteResponse(from, body) else elections.onVoteResponse(now, from, request.body, body)
     }
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/RecordLog.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/RecordLog.kt
@@ -7,7 +7,7 @@
 import io.bluebellramp.messages.Membership
 import io.bluebellramp.messages.RecordKind
 
-/** The log of one member in memory: a snapshot and the records after it. */
+/** The log of one member in memory: the latest snapshot and the records after it. */
 internal class RecordLog(
     var snapshot: StoredSnapshot?,
     stored: List<LogRecord>,
@@ -25,24 +25,24 @@
     val lastTerm get() = records.lastOrNull()?.term ?: snapshot?.term ?: 0L
     val isEmpty get() = lastIndex == 0L
 
-    /** The membership of the last membership record, committed or not. */
-    val membership: Membership get() = memberships.lastOrNull() ?: NO_MEMBERS
+    /** The membership in the last membership record, whether it is committed or not. */
+    val membership: Membership get() = memberships.lastOrNull() ?: EMPTY_MEMBERSHIP
 
     /**
-     * The sets that each must give a majority: the voters of the last two membership records. So a change of several voters in
-     * one record needs a majority of the old and of the new set until a further record confirms it.
+     * The voters of each of the last two membership records; elections and commits need a majority of each set. So a record that
+     * changes several voters needs a majority of the old and of the new voters until a second record confirms the change.
      */
     val voterSets: List<Set<MemberId>>
         get() =
             memberships
                 .takeLast(2)
-                .map { it.ids() }
+                .map { it.voterIds() }
                 .distinct()
 
-    /** True while a change of the voters is not confirmed by a second record. */
+    /** True while no second record has confirmed a change of the voters, so that old and new voters count (joint consensus). */
     val isJoint get() = voterSets.size > 1
 
-    /** Every member that gets records. */
+    /** All voters and learners, those of an unconfirmed change included. The leader sends records to each of them. */
     val members: List<MemberAddress>
         get() =
             memberships
@@ -51,8 +51,8 @@
                 .flatMap { it.voters + it.learners }
                 .distinctBy { it.member }
 
-    /** Returns the last membership at or before [index]. */
-    fun membershipAt(index: Long): Membership = memberships.lastOrNull { it.index <= index } ?: NO_MEMBERS
+    /** Returns the membership in force at [index]. */
+    fun membershipAt(index: Long): Membership = memberships.lastOrNull { it.index <= index } ?: EMPTY_MEMBERSHIP
 
     /** Returns the term of the record at [index], or null if this log does not know it. */
     fun termAt(index: Long): Long? =
@@ -65,21 +65,21 @@
 
     fun record(index: Long): LogRecord = records[(index - snapshotIndex - 1).toInt()]
 
-    /** Returns the records from [index] on, [limit] and [MOST_CHARACTERS] at most, but one at least unless [limit] is 0. */
+    /** Returns the records from [index] on: at most [limit] and [MAX_BATCH_CHARACTERS], but at least one unless [limit] is 0. */
     fun batch(
         index: Long,
         limit: Int,
     ): List<LogRecord> {
         var characters = 0
-        return from(index, limit).takeWhile { record ->
+        return recordsFrom(index, limit).takeWhile { record ->
             val isFirst = record.index == index
             characters += record.body.length
-            isFirst || characters <= MOST_CHARACTERS
+            isFirst || characters <= MAX_BATCH_CHARACTERS
         }
     }
 
-    /** Returns the records from [index] on, [limit] at most. */
-    fun from(
+    /** Returns at most [limit] records from [index] on. */
+    fun recordsFrom(
         index: Long,
         limit: Int = Int.MAX_VALUE,
     ): List<LogRecord> {
@@ -101,9 +101,9 @@
         memberships.removeAll { it.index >= index && it.index > snapshotIndex }
     }
 
-    /** Replaces everything up to the index of [next] by it, and the rest too unless it continues [next]. */
-    fun restart(next: StoredSnapshot) {
-        val remaining = if (termAt(next.index) == next.term) from(next.index + 1) else emptyList()
+    /** Replaces all records up to the index of [next] by [next]. Keeps the later ones only if the log agrees with [next] at its index. */
+    fun resetToSnapshot(next: StoredSnapshot) {
+        val remaining = if (termAt(next.index) == next.term) recordsFrom(next.index + 1) else emptyList()
         records.clear()
         memberships.clear()
         snapshot = next
@@ -111,8 +111,8 @@
         append(remaining)
     }
 
-    /** Returns the first index of the run of records with the term of [index]. */
-    fun firstOfTerm(index: Long): Long {
+    /** Returns the index of the first record that has the same term as the one at [index]. */
+    fun firstIndexOfTerm(index: Long): Long {
         val term = termAt(index)
         var first = index
         while (first - 1 > snapshotIndex && termAt(first - 1) == term) first--
@@ -120,11 +120,11 @@
     }
 
     private companion object {
-        /** Length of the bodies in one request (characters). */
-        const val MOST_CHARACTERS = 1_048_576
-        val NO_MEMBERS = Membership(0, emptyList(), emptyList(), emptyList())
+        /** Limit for the bodies of all records in one request. */
+        const val MAX_BATCH_CHARACTERS = 1_048_576
+        val EMPTY_MEMBERSHIP = Membership(0, emptyList(), emptyList(), emptyList())
     }
 }
 
 /** The ids of the voters. */
-internal fun Membership.ids(): Set<MemberId> = voters.map { it.member }.toSet()
+internal fun Membership.voterIds(): Set<MemberId> = voters.map { it.member }.toSet()
--- a/replication/src/main/kotlin/io/bluebellramp/replication/ReplicatedLog.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/ReplicatedLog.kt
@@ -10,7 +10,7 @@
 import io.bluebellramp.messages.VoteRequest
 import io.bluebellramp.messages.VoteResponse
 
-/** What became of a proposal. */
+/** The result of a proposal. */
 sealed interface ProposalResult {
     /** The command is committed and applied at [index]; [answer] is what the state machine returned. */
     data class Applied(
@@ -18,15 +18,15 @@
         val answer: String,
     ) : ProposalResult
 
-    /** This member is not the leader; nothing was proposed. */
+    /** This member is not the leader, and nothing was proposed. [leader] is the leader known to it. */
     data class NotLeader(
         val leader: MemberAddress?,
     ) : ProposalResult
 
-    /** Leadership was lost while the proposal was under way. It may or may not be committed. */
+    /** Leadership was lost before the proposal completed. It may or may not be committed. */
     data object Unknown : ProposalResult
 
-    /** A membership change was refused for [reason]; the voters are as before. */
+    /** A membership change was refused for [reason]. The voters are unchanged. */
     data class Refused(
         val reason: String,
     ) : ProposalResult
@@ -36,10 +36,11 @@
 enum class Role { LEADER, FOLLOWER, CANDIDATE, LEARNER }
 
 /**
- * What a member knows of the log.
+ * The state of the log as far as a member knows it.
  *
- * @property matchIndexes last synced index by member, known to the leader only
- * @property isJoint true while a change of the voters is not confirmed here: a majority of the former voters is needed too
+ * @property matchIndexes last index known to be synced, by member; empty unless this member leads
+ * @property isJoint true while a change of the voters is not confirmed in this member's log, so that a majority of the old ones is needed
+ * too
  */
 data class LogStatus(
     val role: Role,
@@ -52,38 +53,38 @@
     val matchIndexes: Map<String, Long>,
     val isJoint: Boolean = false,
 ) {
-    /** True if the members are those of a confirmed change, as far as this member knows. */
+    /** True if the membership is committed and no change of the voters awaits confirmation, as far as this member knows. */
     val isSettled: Boolean get() = !isJoint && membership.index <= commitIndex
 }
 
-/** One member of the replicated log, as its owner sees it. Safe for concurrent use. */
+/** The interface of a member of the replicated log. Thread-safe. */
 interface ReplicatedLog {
-    /** Proposes [command] and waits until it is committed by a majority, synced and applied here. */
+    /** Proposes [command] and waits until it is synced by a majority, committed, and applied by this member. */
     suspend fun propose(command: String): ProposalResult
 
-    /** Adds a learner and then makes it a voter, removes a member, or replaces one in a single committed swap. */
+    /** Adds a learner, adds a voter (as a learner first), removes a member, or replaces a member by another in a single change. */
     suspend fun changeMembership(request: MembershipRequest): ProposalResult
 
     /**
-     * Tells whether this member is a leader that has applied a record of its own term and whose last round that a majority
-     * answered was sent less than the election time ago. No other leader can have been elected when it returns true.
+     * Returns true if this member holds the leader's lease: it has applied a record of its own term, and a majority has answered requests
+     * that it sent less than the election timeout ago. While this is true, no other leader can have been elected.
      */
     fun holdsMajority(): Boolean
 
-    /** Returns what this member knows. */
+    /** Returns the state of the log as this member knows it. */
     fun status(): LogStatus
 
-    /** Handles a message of another member. */
+    /** Handles a vote request of another member. */
     suspend fun onVote(request: VoteRequest): VoteResponse
 
-    /** Handles a message of another member; returns once the records are synced. */
+    /** Handles an append request of another member, and returns once the records are synced. */
     suspend fun onAppend(request: AppendRequest): AppendResponse
 
-    /** Handles a message of another member. */
+    /** Handles a part of a snapshot from another member. */
     suspend fun onSnapshot(request: SnapshotRequest): SnapshotResponse
 }
 
-/** Sends messages to other members. Each call returns null if no answer came; the message may have arrived all the same. */
+/** Sends requests to other members. Each call returns null if no answer came; the request may have arrived nevertheless. */
 interface LogTransport {
     suspend fun vote(
         to: MemberAddress,
--- a/replication/src/main/kotlin/io/bluebellramp/replication/StateMachine.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/StateMachine.kt
@@ -1,6 +1,6 @@
 package io.bluebellramp.replication
 
-/** The state that the log replicates. It is deterministic: the same commands in the same order give the same state and answers. */
+/** The state that the log replicates. It must be deterministic: the same commands in the same order give the same state and answers. */
 interface StateMachine {
     /** Applies the committed [command] at [index] and returns the answer for its proposer. */
     fun apply(
@@ -8,9 +8,9 @@
         command: String,
     ): String
 
-    /** Returns the whole state as text. */
+    /** Serializes the whole state. */
     fun snapshot(): String
 
-    /** Replaces the whole state by that of [snapshot]. */
+    /** Replaces the whole state by the one that [snapshot] serialized. */
     fun restore(snapshot: String)
 }
--- a/replication/src/main/kotlin/io/bluebellramp/replication/SyncedFiles.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/SyncedFiles.kt
@@ -10,29 +10,29 @@
 import java.nio.file.StandardOpenOption.TRUNCATE_EXISTING
 import java.nio.file.StandardOpenOption.WRITE
 
-/** Writes files of one folder so that they are durable when a call returns. */
+/** Writes files of one folder and syncs them, so that they are durable when a call returns. */
 internal class SyncedFiles(
     private val folder: Path,
 ) {
-    /** Replaces [name] by a file with [content], whole or not at all. */
+    /** Atomically replaces the file [name] by one with [content]. */
     fun replace(
         name: String,
         content: ByteBuffer,
     ) {
-        val draft = folder.resolve("$name.tmp")
-        FileChannel.open(draft, CREATE, WRITE, TRUNCATE_EXISTING).use {
+        val temporaryFile = folder.resolve("$name.tmp")
+        FileChannel.open(temporaryFile, CREATE, WRITE, TRUNCATE_EXISTING).use {
             writeAll(it, content)
             it.force(true)
         }
-        Files.move(draft, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING)
+        Files.move(temporaryFile, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING)
         syncFolder()
     }
 
-    /** Makes the names in the folder durable. */
+    /** Syncs the folder itself, so that created and renamed files keep their names after a crash. */
     fun syncFolder() = FileChannel.open(folder, READ).use { it.force(true) }
 
     companion object {
-        /** Writes all of [content] at the position of [channel]. */
+        /** Writes all of [content] at the current position of [channel]. */
         fun writeAll(
             channel: FileChannel,
             content: ByteBuffer,
--- a/replication/src/main/kotlin/io/bluebellramp/replication/SyncedIndex.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/SyncedIndex.kt
@@ -1,35 +1,35 @@
 package io.bluebellramp.replication
 
-/** Tracks up to which index the own log is durable. */
+/** Tracks the index up to which this member's own log is synced to disk. */
 internal class SyncedIndex(
-    initial: Long,
+    initialIndex: Long,
 ) {
-    private class Pending(
-        val output: Long,
+    private class PendingOutput(
+        val outputNumber: Long,
         var lastIndex: Long,
     )
 
-    private val pending = ArrayDeque<Pending>()
+    private val pending = ArrayDeque<PendingOutput>()
 
-    var index = initial
+    var index = initialIndex
         private set
 
-    /** The output [number] was issued while the log ended at [lastIndex]. */
-    fun issued(
-        number: Long,
+    /** Adds the output [outputNumber], whose writes are not durable yet. The log ended at [lastIndex] when it was created. */
+    fun addPending(
+        outputNumber: Long,
         lastIndex: Long,
     ) {
-        pending += Pending(number, lastIndex)
+        pending += PendingOutput(outputNumber, lastIndex)
     }
 
-    /** The records from [from] on were dropped. */
-    fun truncated(from: Long) {
+    /** Accounts for the removal of all records from index [from] on. */
+    fun truncateFrom(from: Long) {
         index = minOf(index, from - 1)
         pending.forEach { it.lastIndex = minOf(it.lastIndex, from - 1) }
     }
 
-    /** All outputs up to [number] are durable. */
-    fun synced(number: Long) {
-        while (pending.isNotEmpty() && pending.first().output <= number) index = pending.removeFirst().lastIndex
+    /** Accounts for the writes of all outputs up to [outputNumber] being durable. */
+    fun markSynced(outputNumber: Long) {
+        while (pending.isNotEmpty() && pending.first().outputNumber <= outputNumber) index = pending.removeFirst().lastIndex
     }
 }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/CheckedMachine.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/CheckedStateMachine.kt
@@ -1,17 +1,17 @@
 package io.bluebellramp.replication
 
-/** A state machine that reports each command to [checker]. */
-internal class CheckedMachine(
+/** A state machine that records its commands and reports each to [checker]. */
+internal class CheckedStateMachine(
     private val checker: HistoryChecker,
 ) : StateMachine {
     var commands = ArrayList<Pair<Long, String>>()
-    var restores = 0
+    var restoreCount = 0
 
     override fun apply(
         index: Long,
         command: String,
     ): String {
-        checker.applied(commands.size, index, command)
+        checker.onApplied(commands.size, index, command)
         commands += index to command
         return command
     }
@@ -19,7 +19,7 @@
     override fun snapshot() = commands.joinToString("\n") { "${it.first} ${it.second}" }
 
     override fun restore(snapshot: String) {
-        restores++
+        restoreCount++
         commands = ArrayList()
         snapshot.lines().filter { it.isNotEmpty() }.forEach { apply(it.substringBefore(' ').toLong(), it.substringAfter(' ')) }
     }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/FileCluster.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/FileCluster.kt
@@ -15,11 +15,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Returns the address of the member [name]. */
+/** Returns a member with the id [name] and an address derived from it. */
 internal fun address(name: String) = MemberAddress(MemberId(name), Address("127.0.0.1:${7000 + name.sumOf { it.code }}"))
 
-/** A state machine that keeps all commands. */
-internal class ListMachine : StateMachine {
+/** A state machine that records all commands in order. */
+internal class ListStateMachine : StateMachine {
     val commands = ArrayList<String>()
 
     override fun apply(
@@ -38,15 +38,15 @@
     }
 }
 
-/** Members with real files in one process, joined by direct calls. */
+/** Members in one process that store their state in files and call each other directly instead of over a network. */
 internal class FileCluster(
     private val root: Path,
     private val settings: LogSettings = LogSettings(electionMillis = 150, heartbeatMillis = 30, snapshotRecords = 50),
     private val listener: LogListener = object : LogListener {},
 ) : LogTransport {
-    private val founding = listOf("a", "b", "c").map(::address)
+    private val foundingMembers = listOf("a", "b", "c").map(::address)
     val members = ConcurrentHashMap<MemberId, LogMember>()
-    val machines = ConcurrentHashMap<String, ListMachine>()
+    val machines = ConcurrentHashMap<String, ListStateMachine>()
 
     fun folder(name: String): Path = root.resolve(name)
 
@@ -54,8 +54,8 @@
         name: String,
         joining: Boolean = false,
     ): LogMember {
-        val machine = ListMachine()
-        val member = LogMember(address(name), founding, joining, folder(name), machine, this, SystemClock, settings, listener)
+        val machine = ListStateMachine()
+        val member = LogMember(address(name), foundingMembers, joining, folder(name), machine, this, SystemClock, settings, listener)
         assertEquals(LogStart.Started, member.start())
         members[MemberId(name)] = member
         machines[name] = machine
@@ -71,22 +71,22 @@
             members.values.find { it.holdsMajority() }
         }
 
-    /** Proposes until it is applied. */
+    /** Proposes [command] repeatedly until a leader reports that it is applied. */
     suspend fun propose(command: String): ProposalResult.Applied =
         eventually(command) { leader().propose(command) as? ProposalResult.Applied }
 
     suspend fun <T> eventually(
-        what: String,
+        description: String,
         probe: suspend () -> T?,
     ): T {
-        var found: T? = null
+        var result: T? = null
         withTimeout(20.seconds) {
-            while (found == null) {
-                found = probe()
-                if (found == null) delay(5.milliseconds)
+            while (result == null) {
+                result = probe()
+                if (result == null) delay(5.milliseconds)
             }
         }
-        return checkNotNull(found) { what }
+        return checkNotNull(result) { description }
     }
 
     override suspend fun vote(
--- a/replication/src/test/kotlin/io/bluebellramp/replication/FileLogStorageTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/FileLogStorageTest.kt
@@ -21,7 +21,7 @@
     lateinit var root: Path
 
     private val member = MemberId("a")
-    private val vote = VoteState(member, term = 3, votedFor = MemberId("b"), stage = FoundingStage.ACTIVE)
+    private val vote = VoteState(member, term = 3, votedFor = MemberId("b"), stage = BootstrapStage.ACTIVE)
     private val log get() = root.resolve("log")
 
     private fun record(
@@ -38,42 +38,42 @@
 
     private fun write(vararg writes: StorageWrite) {
         FileLogStorage(root).use { storage ->
-            assertIs<StorageOpening.Opened>(storage.open(member))
+            assertIs<StorageOpenResult.Opened>(storage.open(member))
             writes.forEach { assertNull(storage.persist(listOf(it))) }
         }
     }
 
-    private fun read(): StoredState = FileLogStorage(root).use { assertIs<StorageOpening.Opened>(it.open(member)).state }
+    private fun read(): StoredState = FileLogStorage(root).use { assertIs<StorageOpenResult.Opened>(it.open(member)).state }
 
-    private fun refusal(): StorageError = FileLogStorage(root).use { assertIs<StorageOpening.Refused>(it.open(member)).error }
+    private fun openError(): StorageError = FileLogStorage(root).use { assertIs<StorageOpenResult.Refused>(it.open(member)).error }
 
     @Nested
-    inner class `opened again` {
+    inner class `a storage that is opened again` {
         @Test
-        fun `gives what was synced`() {
+        fun `returns what was synced`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..3)), StorageWrite.Append(records(4L..4)))
             assertEquals(StoredState(vote, null, records(1L..4)), read())
         }
 
         @Test
-        fun `gives the records that replaced a tail`() {
+        fun `returns the records that replaced the end of the log`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..5)), StorageWrite.Append(records(3L..4, term = 2)))
             assertEquals(records(1L..2) + records(3L..4, term = 2), read().records)
         }
 
         @Test
-        fun `gives the snapshot and the records after it`() {
+        fun `returns the snapshot and the records after it`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..5)), StorageWrite.Snapshot(snapshot(4), records(5L..5)))
             write(StorageWrite.Append(records(6L..6)))
             assertEquals(StoredState(vote, snapshot(4), records(5L..6)), read())
         }
 
         @Test
-        fun `drops what the snapshot covers after a crash before the log was replaced`() {
+        fun `drops the records that the snapshot covers if it crashed before the log was replaced`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..5)))
-            val old = log.readBytes()
+            val logBeforeSnapshot = log.readBytes()
             write(StorageWrite.Snapshot(snapshot(4), records(5L..5)))
-            log.writeBytes(old)
+            log.writeBytes(logBeforeSnapshot)
             assertEquals(records(5L..5), read().records)
         }
     }
@@ -81,15 +81,15 @@
     @Nested
     inner class `a torn write` {
         @Test
-        fun `is cut off at any length and the log goes on`() {
+        fun `is truncated, whatever its length, and the log can be appended to`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..3)))
-            val synced = Files.size(log).toInt()
+            val syncedLength = Files.size(log).toInt()
             write(StorageWrite.Append(records(4L..5)))
-            val whole = log.readBytes()
-            for (length in synced until whole.size) {
-                log.writeBytes(whole.copyOf(length))
+            val intact = log.readBytes()
+            for (length in syncedLength until intact.size) {
+                log.writeBytes(intact.copyOf(length))
                 assertEquals(records(1L..3), read().records, "cut at $length")
-                assertEquals(synced.toLong(), Files.size(log))
+                assertEquals(syncedLength.toLong(), Files.size(log))
             }
             write(StorageWrite.Append(records(4L..4, term = 2)))
             assertEquals(records(1L..3) + record(4, 2), read().records)
@@ -99,48 +99,48 @@
     @Nested
     inner class `a damaged file` {
         @Test
-        fun `is refused with file and offset wherever a byte before the last frame changed`() {
+        fun `is reported with file and offset, whichever byte before the last frame was changed`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..2)))
-            val first = Files.size(log).toInt()
+            val firstFrameEnd = Files.size(log).toInt()
             write(StorageWrite.Append(records(3L..4)))
-            val second = Files.size(log).toInt()
+            val secondFrameEnd = Files.size(log).toInt()
             write(StorageWrite.Append(records(5L..5)))
-            val whole = log.readBytes()
-            for (offset in 0 until second) {
-                val damaged = whole.copyOf()
+            val intact = log.readBytes()
+            for (offset in 0 until secondFrameEnd) {
+                val damaged = intact.copyOf()
                 damaged[offset] = (damaged[offset].toInt() xor 4).toByte()
                 log.writeBytes(damaged)
                 val expected =
                     StorageError.Corrupt(
                         log.toString(),
                         if (offset <
-                            first
+                            firstFrameEnd
                         ) {
                             0
                         } else {
-                            first.toLong()
+                            firstFrameEnd.toLong()
                         },
                         "bad checksum before the last frame",
                     )
-                assertEquals(expected, refusal(), "byte $offset")
+                assertEquals(expected, openError(), "byte $offset")
             }
         }
 
         @Test
-        fun `is refused when it holds the vote`() {
+        fun `is reported if it is the vote file`() {
             write(StorageWrite.Vote(vote))
             val file = root.resolve("vote")
             val damaged = file.readBytes()
             damaged[20] = (damaged[20].toInt() xor 1).toByte()
             file.writeBytes(damaged)
-            assertEquals(file.toString(), assertIs<StorageError.Corrupt>(refusal()).file)
+            assertEquals(file.toString(), assertIs<StorageError.Corrupt>(openError()).file)
         }
 
         @Test
-        fun `is refused when the vote is gone but the log is not`() {
+        fun `is reported if the vote file is missing but the log is not`() {
             write(StorageWrite.Vote(vote), StorageWrite.Append(records(1L..2)))
             root.resolve("vote").deleteExisting()
-            assertIs<StorageError.Corrupt>(refusal())
+            assertIs<StorageError.Corrupt>(openError())
         }
     }
 }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/HistoryChecker.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/HistoryChecker.kt
@@ -3,12 +3,20 @@
 import io.bluebellramp.core.MemberId
 import kotlin.time.Duration
 
-/** Records what callers and members saw on the one virtual clock, and fails at the first thing that must not be. */
+/**
+ * Records what callers and members observe, in the order of the simulated time, and fails at the first observation that violates
+ * linearizability or the safety of Raft.
+ */
 internal class HistoryChecker {
+    /**
+     * A proposal of [command] by a caller.
+     *
+     * @property returnedBefore the highest log index among the proposals that had returned before this one was called
+     */
     class Operation(
         val command: String,
         val called: Duration,
-        val after: Long,
+        val returnedBefore: Long,
     ) {
         var result: ProposalResult? = null
     }
@@ -20,35 +28,39 @@
 
     private val applied = ArrayList<Applied>()
     private val leaders = HashMap<Long, MemberId>()
-    private var lastElected = 0L
-    private var lastReturned = 0L
+    private var lastElectedTerm = 0L
+    private var lastReturnedIndex = 0L
     val operations = HashMap<String, Operation>()
-    var accepted = 0
+    var acceptedCount = 0
         private set
-    var elections = 0
+    var electionCount = 0
         private set
 
-    /** Calls [command]. All that returned before it must come before it in the log. */
-    fun call(
+    /** A caller proposes [command]. Every command accepted before must precede it in the log. */
+    fun onCall(
         command: String,
         now: Duration,
-    ) = Operation(command, now, lastReturned).also { operations[command] = it }
+    ) = Operation(command, now, lastReturnedIndex).also { operations[command] = it }
 
-    fun returned(
+    fun onReturn(
         operation: Operation,
         result: ProposalResult,
     ) {
         operation.result = result
         if (result !is ProposalResult.Applied) return
-        accepted++
-        check(applied.any { it.index == result.index && it.command == operation.command }) { "${operation.command} accepted, not applied" }
+        acceptedCount++
+        check(applied.any { it.index == result.index && it.command == operation.command }) {
+            "${operation.command} was accepted but not applied"
+        }
         check(result.answer == operation.command) { "${operation.command} got the answer ${result.answer}" }
-        check(result.index > operation.after) { "${operation.command} at ${result.index} called after the return of ${operation.after}" }
-        lastReturned = maxOf(lastReturned, result.index)
+        check(result.index > operation.returnedBefore) {
+            "${operation.command} was accepted at ${result.index}, but ${operation.returnedBefore} had returned before it was called"
+        }
+        lastReturnedIndex = maxOf(lastReturnedIndex, result.index)
     }
 
-    /** A member applied [command] as its number [position]. Every member must apply the same. */
-    fun applied(
+    /** A member applied [command] at [index] as its command number [position]. All members must apply the same sequence. */
+    fun onApplied(
         position: Int,
         index: Long,
         command: String,
@@ -57,39 +69,43 @@
             val first = applied[position]
             check(
                 first.index == index && first.command == command,
-            ) { "$command at $index where ${first.command} at ${first.index} was applied" }
+            ) { "$command was applied at $index, but another member applied ${first.command} at ${first.index}" }
             return
         }
-        check(applied.none { it.command == command }) { "$command is applied twice" }
+        check(applied.none { it.command == command }) { "$command was applied twice" }
         val operation = operations.getValue(command)
-        check(index > operation.after) { "$command applied at $index was called after the return of ${operation.after}" }
-        check(operation.result !is ProposalResult.NotLeader) { "$command was refused and is applied" }
+        check(index > operation.returnedBefore) {
+            "$command was applied at $index, but ${operation.returnedBefore} had returned before it was called"
+        }
+        check(operation.result !is ProposalResult.NotLeader) {
+            "$command was applied although the caller was told that it was not proposed"
+        }
         applied += Applied(index, command)
     }
 
-    fun leads(
+    fun onLeader(
         member: MemberId,
         term: Long,
     ) {
         val known = leaders.put(term, member)
-        check(known == null || known == member) { "$known and $member both lead term $term" }
-        if (known == null) elections++
-        lastElected = maxOf(lastElected, term)
+        check(known == null || known == member) { "$known and $member are both leaders in term $term" }
+        if (known == null) electionCount++
+        lastElectedTerm = maxOf(lastElectedTerm, term)
     }
 
-    /** [member] says that it holds a majority, and its state machine has applied [commands]. */
-    fun holdsMajority(
+    /** [member] reports that it holds a majority in [term], and has applied [commands] commands. */
+    fun onMajority(
         member: MemberId,
         term: Long,
         commands: Int,
     ) {
-        check(term == lastElected) { "$member holds a majority in term $term after an election in term $lastElected" }
+        check(term == lastElectedTerm) { "$member reports a majority in term $term after an election in term $lastElectedTerm" }
         val last = if (commands == 0) 0L else applied[commands - 1].index
-        check(last >= lastReturned) { "$member holds a majority at $last but $lastReturned was accepted" }
+        check(last >= lastReturnedIndex) { "$member reports a majority at index $last, but index $lastReturnedIndex was already accepted" }
     }
 
-    /** All members are healthy again and have applied [commands] commands each. */
-    fun ends(commands: Int) {
-        check(commands == applied.size) { "$commands commands at the end, ${applied.size} were applied" }
+    /** A healthy member has applied [commands] commands at the end of the history, which must be all of them. */
+    fun onEnd(commands: Int) {
+        check(commands == applied.size) { "a member ended with $commands commands, but ${applied.size} were applied" }
     }
 }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/LogMemberTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/LogMemberTest.kt
@@ -35,7 +35,7 @@
     @AfterEach
     fun stop() = cluster.stopAll()
 
-    private suspend fun startAll() = listOf("a", "b", "c").forEach { cluster.start(it) }
+    private suspend fun startFoundingMembers() = listOf("a", "b", "c").forEach { cluster.start(it) }
 
     private fun replace(
         old: String,
@@ -43,19 +43,19 @@
     ) = MembershipRequest(MembershipAction.REPLACE, MemberId(new), address(new).address, MemberId(old))
 
     @Nested
-    inner class `three new members` {
+    inner class `three founding members` {
         @Test
         fun `elect a leader and apply proposals in order`() =
             runBlocking {
-                startAll()
+                startFoundingMembers()
                 assertEquals("1:x", cluster.propose("x").answer)
                 assertEquals("2:y", cluster.propose("y").answer)
             }
 
         @Test
-        fun `apply many concurrent proposals once each`() =
+        fun `apply each of many concurrent proposals once`() =
             runBlocking {
-                startAll()
+                startFoundingMembers()
                 val leader = cluster.leader()
                 val results = (1..200).map { async { leader.propose("c$it") } }.awaitAll()
                 assertEquals(
@@ -69,19 +69,19 @@
             }
 
         @Test
-        fun `keep everything accepted across a restart of all`() =
+        fun `keep all accepted proposals when all of them restart`() =
             runBlocking {
-                startAll()
+                startFoundingMembers()
                 repeat(120) { cluster.propose("c$it") }
                 cluster.stopAll()
-                startAll()
+                startFoundingMembers()
                 assertEquals("121:after", cluster.propose("after").answer)
             }
 
         @Test
-        fun `tell a proposer who leads`() =
+        fun `return the leader to a proposer`() =
             runBlocking {
-                startAll()
+                startFoundingMembers()
                 val leader = cluster.leader()
                 val follower = cluster.members.values.first { it !== leader }
                 val found = cluster.eventually("leader known") { (follower.propose("x") as? ProposalResult.NotLeader)?.leader }
@@ -90,12 +90,12 @@
     }
 
     @Nested
-    inner class `a lost folder` {
+    inner class `a member that lost its folder` {
         @OptIn(ExperimentalPathApi::class)
         @Test
-        fun `is replaced under a new id, and then a second member may be lost`() =
+        fun `is replaced under a new id, after which the cluster survives the loss of a second member`() =
             runBlocking {
-                startAll()
+                startFoundingMembers()
                 repeat(70) { cluster.propose("c$it") }
                 val lost =
                     cluster.members.keys
@@ -119,31 +119,33 @@
                         .key.value,
                 )
                 assertEquals("71:after", cluster.propose("after").answer)
-                val again =
+                val secondAddition =
                     cluster.leader().changeMembership(
                         MembershipRequest(MembershipAction.ADD, MemberId(lost), address(lost).address),
                     )
-                assertTrue("retired" in assertIs<ProposalResult.Refused>(again).reason)
+                assertTrue("retired" in assertIs<ProposalResult.Refused>(secondAddition).reason)
             }
     }
 
     @Nested
     inner class `a data folder` {
         @Test
-        fun `of another member is refused`() =
+        fun `that belongs to another member is refused`() =
             runBlocking {
                 cluster.start("a")
                 cluster.stop("a")
-                val other = LogMember(address("b"), listOf(address("b")), false, cluster.folder("a"), ListMachine(), cluster, SystemClock)
+                val other =
+                    LogMember(address("b"), listOf(address("b")), false, cluster.folder("a"), ListStateMachine(), cluster, SystemClock)
                 assertIs<StorageError.OtherMember>(assertIs<LogStart.Refused>(other.start()).error)
                 Unit
             }
 
         @Test
-        fun `in use is refused`() =
+        fun `that is in use is refused`() =
             runBlocking {
                 cluster.start("a")
-                val other = LogMember(address("a"), listOf(address("a")), false, cluster.folder("a"), ListMachine(), cluster, SystemClock)
+                val other =
+                    LogMember(address("a"), listOf(address("a")), false, cluster.folder("a"), ListStateMachine(), cluster, SystemClock)
                 assertIs<StorageError.Locked>(assertIs<LogStart.Refused>(other.start()).error)
                 Unit
             }
@@ -152,7 +154,7 @@
     @Nested
     inner class `a disk that fails` {
         private inner class FailingStorage : LogStorage {
-            override fun open(member: MemberId) = StorageOpening.Opened(StoredState(null, null, emptyList()))
+            override fun open(member: MemberId) = StorageOpenResult.Opened(StoredState(null, null, emptyList()))
 
             override fun persist(writes: List<StorageWrite>): StorageError? {
                 val records = writes.filterIsInstance<StorageWrite.Append>().flatMap { it.records }
@@ -163,7 +165,7 @@
         }
 
         @Test
-        fun `stops the member, and nothing is said to be accepted`() =
+        fun `stops the member, and no proposal is reported as applied`() =
             runBlocking {
                 var failure: StorageError? = null
                 val listener =
@@ -174,7 +176,8 @@
                     }
                 val settings = LogSettings(electionMillis = 100, heartbeatMillis = 20)
                 val self = address("a")
-                val member = LogMember(self, listOf(self), false, FailingStorage(), ListMachine(), cluster, SystemClock, settings, listener)
+                val member =
+                    LogMember(self, listOf(self), false, FailingStorage(), ListStateMachine(), cluster, SystemClock, settings, listener)
                 member.start()
                 cluster.eventually("failure") { if (member.propose("x") is ProposalResult.Applied) error("accepted") else failure }
                 assertEquals(ProposalResult.NotLeader(null), member.propose("y"))
@@ -185,18 +188,19 @@
 
     @Nested
     inner class `a slow disk` {
-        private inner class GatedStorage : LogStorage {
-            val isBusy = CompletableDeferred<Unit>()
-            val gate = CountDownLatch(1)
+        private inner class BlockingStorage : LogStorage {
+            val writing = CompletableDeferred<Unit>()
+            val writeMayFinish = CountDownLatch(1)
             private val members = Membership(1, listOf("a", "b", "c").map(::address), emptyList(), emptyList())
-            private val vote = VoteState(MemberId("a"), 1, null, FoundingStage.ACTIVE)
+            private val vote = VoteState(MemberId("a"), 1, null, BootstrapStage.ACTIVE)
 
-            override fun open(member: MemberId) = StorageOpening.Opened(StoredState(vote, StoredSnapshot(3, 1, members, ""), emptyList()))
+            override fun open(member: MemberId) =
+                StorageOpenResult.Opened(StoredState(vote, StoredSnapshot(3, 1, members, ""), emptyList()))
 
             override fun persist(writes: List<StorageWrite>): StorageError? {
                 if (writes.isNotEmpty()) {
-                    isBusy.complete(Unit)
-                    gate.await()
+                    writing.complete(Unit)
+                    writeMayFinish.await()
                 }
                 return null
             }
@@ -205,9 +209,9 @@
         }
 
         @Test
-        fun `holds back every answer until what was decided before it is durable`() =
+        fun `delays each answer until the state it depends on is durable`() =
             runBlocking {
-                val storage = GatedStorage()
+                val storage = BlockingStorage()
                 val settings = LogSettings(electionMillis = 100, heartbeatMillis = 20)
                 val member =
                     LogMember(
@@ -215,20 +219,20 @@
                         emptyList(),
                         false,
                         storage,
-                        ListMachine(),
+                        ListStateMachine(),
                         cluster,
                         SystemClock,
                         settings,
                         object : LogListener {},
                     )
                 member.start()
-                delay(settings.election)
+                delay(settings.electionTimeout)
                 val answers =
                     listOf("b", "c").map { candidate ->
-                        async { member.onVote(VoteRequest(5, MemberId(candidate), 3, 1, preVote = false)) }.also { storage.isBusy.await() }
+                        async { member.onVote(VoteRequest(5, MemberId(candidate), 3, 1, preVote = false)) }.also { storage.writing.await() }
                     }
-                assertNull(withTimeoutOrNull(settings.election) { answers.last().await() })
-                storage.gate.countDown()
+                assertNull(withTimeoutOrNull(settings.electionTimeout) { answers.last().await() })
+                storage.writeMayFinish.countDown()
                 assertEquals(listOf(true, false), answers.awaitAll().map { it.granted })
                 member.close()
             }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/RaftCoreTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/RaftCoreTest.kt
@@ -24,151 +24,151 @@
 import kotlin.time.Duration.Companion.seconds
 
 class RaftCoreTest {
-    private val cluster = FakeCluster(Random(SEED), 3, Chaos(0.0, 0.0, 0.0))
+    private val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0))
 
     private fun leader() = cluster.nodes.values.single { it.holdsMajority }
 
-    private fun cut(node: FakeCluster.Node) =
+    private fun isolate(node: SimulatedCluster.Node) =
         cluster.nodes.keys.forEach {
-            cluster.blocked += node.id to it
-            cluster.blocked += it to node.id
+            cluster.blockedLinks += node.id to it
+            cluster.blockedLinks += it to node.id
         }
 
-    private fun run(seconds: Int) = cluster.runUntil(cluster.now + seconds.seconds)
+    private fun advance(seconds: Int) = cluster.runUntil(cluster.now + seconds.seconds)
 
     @Nested
-    inner class `a follower that was cut off` {
+    inner class `a follower that was isolated` {
         @Test
-        fun `comes back without an election`() {
-            run(3)
+        fun `rejoins without an election`() {
+            advance(3)
             val leader = leader()
             val term = leader.core?.term
-            cut(cluster.nodes.values.first { it !== leader })
-            run(10)
-            cluster.blocked.clear()
-            run(5)
+            isolate(cluster.nodes.values.first { it !== leader })
+            advance(10)
+            cluster.blockedLinks.clear()
+            advance(5)
             assertEquals(leader, leader())
             assertEquals(term, leader.core?.term)
         }
     }
 
     @Nested
-    inner class `members that elect as soon as they start` {
-        private val quick = FakeCluster(Random(SEED), 3, Chaos(0.0, 0.0, 0.0), electsAtStart = true)
+    inner class `members that elect immediately after they start` {
+        private val fastCluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), electsAtStart = true)
 
-        private fun leads() = quick.nodes.values.filter { it.core?.role == Role.LEADER }
+        private fun leaders() = fastCluster.nodes.values.filter { it.core?.role == Role.LEADER }
 
         @Test
-        fun `mostly have a leader within half an election time after all of them lost power`() {
-            val quickly =
-                (1..LOSSES).count {
-                    quick.runUntil(quick.now + 3.seconds)
-                    assertEquals(1, leads().size, "no leader before loss $it: ${quick.describe()}")
-                    quick.nodes.values.forEach(quick::crash)
-                    quick.nodes.values.forEach(quick::start)
-                    quick.runUntil(quick.now + 200.milliseconds)
-                    leads().size == 1
+        fun `usually elect a leader within half an election timeout after all of them lost power`() {
+            val electedInTime =
+                (1..POWER_LOSSES).count {
+                    fastCluster.runUntil(fastCluster.now + 3.seconds)
+                    assertEquals(1, leaders().size, "no leader before loss $it: ${fastCluster.describe()}")
+                    fastCluster.nodes.values.forEach(fastCluster::crash)
+                    fastCluster.nodes.values.forEach(fastCluster::start)
+                    fastCluster.runUntil(fastCluster.now + 200.milliseconds)
+                    leaders().size == 1
                 }
-            // The others met a split vote or one of the slow writes of the fake disks.
-            assertTrue(quickly >= LOSSES * 3 / 4, "$quickly of $LOSSES")
+            // The other elections had a split vote or one of the slow writes of the simulated disks.
+            assertTrue(electedInTime >= POWER_LOSSES * 3 / 4, "$electedInTime of $POWER_LOSSES")
         }
 
         @Test
-        fun `leave a living leader alone when one of them starts again`() {
-            quick.runUntil(3.seconds)
-            val leader = leads().single()
+        fun `do not replace a running leader when one of them restarts`() {
+            fastCluster.runUntil(3.seconds)
+            val leader = leaders().single()
             val term = leader.core?.term
-            val other = quick.nodes.values.first { it !== leader }
+            val other = fastCluster.nodes.values.first { it !== leader }
             repeat(10) {
-                quick.crash(other)
-                quick.runUntil(quick.now + 50.milliseconds)
-                quick.start(other)
-                quick.runUntil(quick.now + 500.milliseconds)
+                fastCluster.crash(other)
+                fastCluster.runUntil(fastCluster.now + 50.milliseconds)
+                fastCluster.start(other)
+                fastCluster.runUntil(fastCluster.now + 500.milliseconds)
             }
-            assertEquals(leader, leads().single())
+            assertEquals(leader, leaders().single())
             assertEquals(term, leader.core?.term)
         }
     }
 
     @Nested
     inner class `a member whose folder was emptied` {
-        private fun replaceAtItsAddress(
+        private fun replaceAtSameAddress(
             namesReceiver: Boolean,
             within: Duration = 8.seconds,
         ): ProposalResult {
-            val cluster = FakeCluster(Random(SEED), 3, Chaos(0.0, 0.0, 0.0), namesReceiver = namesReceiver)
+            val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), namesReceiver = namesReceiver)
             cluster.runUntil(3.seconds)
             val leader = cluster.nodes.values.single { it.holdsMajority }
             val lost = cluster.nodes.values.first { it !== leader }
             cluster.propose(leader, "before")
             cluster.crash(lost)
-            val newcomer = cluster.add(MemberAddress(MemberId("p"), lost.address.address), joining = true)
+            val newMember = cluster.add(MemberAddress(MemberId("p"), lost.address.address), joining = true)
             val results = ArrayList<ProposalResult>()
-            val request = MembershipRequest(MembershipAction.REPLACE, newcomer.id, newcomer.address.address, lost.id)
-            cluster.change(leader, request) { results += it }
+            val request = MembershipRequest(MembershipAction.REPLACE, newMember.id, newMember.address.address, lost.id)
+            cluster.changeMembership(leader, request) { results += it }
             cluster.runUntil(cluster.now + within)
-            if (results.single() is ProposalResult.Applied) assertEquals(leader.machine.commands, newcomer.machine.commands)
+            if (results.single() is ProposalResult.Applied) assertEquals(leader.machine.commands, newMember.machine.commands)
             return results.single()
         }
 
         @Test
-        fun `is replaced at its own address where messages name their receiver`() {
-            assertIs<ProposalResult.Applied>(replaceAtItsAddress(namesReceiver = true))
+        fun `is replaced at its own address if messages name their receiver`() {
+            assertIs<ProposalResult.Applied>(replaceAtSameAddress(namesReceiver = true))
         }
 
         @Test
-        fun `is replaced within two election times where messages name their receiver`() {
-            assertIs<ProposalResult.Applied>(replaceAtItsAddress(namesReceiver = true, within = 800.milliseconds))
+        fun `is replaced within two election timeouts if messages name their receiver`() {
+            assertIs<ProposalResult.Applied>(replaceAtSameAddress(namesReceiver = true, within = 800.milliseconds))
         }
 
         @Test
-        fun `is not replaced at its own address where another process could answer for it`() {
-            assertEquals("is in use", assertIs<ProposalResult.Refused>(replaceAtItsAddress(namesReceiver = false)).reason.takeLast(9))
+        fun `is not replaced at its own address if another process could answer for it`() {
+            assertEquals("is in use", assertIs<ProposalResult.Refused>(replaceAtSameAddress(namesReceiver = false)).reason.takeLast(9))
         }
     }
 
     @Nested
-    inner class `a member that was away for hundreds of changes` {
+    inner class `a member that missed hundreds of commands` {
         @Test
-        fun `catches up by snapshot, in parts`() {
-            run(3)
+        fun `catches up by a snapshot that is sent in parts`() {
+            advance(3)
             val leader = leader()
-            val away = cluster.nodes.values.first { it !== leader }
-            cluster.crash(away)
-            repeat(CHANGES) {
+            val absentMember = cluster.nodes.values.first { it !== leader }
+            cluster.crash(absentMember)
+            repeat(COMMANDS) {
                 cluster.propose(leader, "c$it")
                 cluster.runUntil(cluster.now + 20.milliseconds)
             }
-            cluster.start(away)
-            run(2)
-            assertTrue(away.machine.restores > 0)
-            assertEquals(leader.machine.commands, away.machine.commands)
-            assertEquals(CHANGES, cluster.checker.accepted)
+            cluster.start(absentMember)
+            advance(2)
+            assertTrue(absentMember.machine.restoreCount > 0)
+            assertEquals(leader.machine.commands, absentMember.machine.commands)
+            assertEquals(COMMANDS, cluster.checker.acceptedCount)
         }
     }
 
     @Nested
-    inner class `a new member that is never reached` {
+    inner class `a new member that can never be reached` {
         @Test
-        fun `is given up, and further changes go on`() {
-            run(3)
+        fun `is removed again, and other changes succeed`() {
+            advance(3)
             val results = ArrayList<ProposalResult>()
-            val missing = MembershipRequest(MembershipAction.ADD, MemberId("x"), address("x").address)
-            cluster.change(leader(), missing) { results += it }
-            run(70)
+            val unreachable = MembershipRequest(MembershipAction.ADD, MemberId("x"), address("x").address)
+            cluster.changeMembership(leader(), unreachable) { results += it }
+            advance(70)
             assertTrue("did not catch up" in assertIs<ProposalResult.Refused>(results.single()).reason)
             cluster.add(address("y"), joining = true)
-            cluster.change(leader(), missing.copy(member = MemberId("y"), address = address("y").address)) { results += it }
-            run(10)
+            cluster.changeMembership(leader(), unreachable.copy(member = MemberId("y"), address = address("y").address)) { results += it }
+            advance(10)
             assertIs<ProposalResult.Applied>(results.last())
         }
     }
 
     @Nested
-    inner class `a newcomer that loses its disk while it is taken in` {
+    inner class `a new member that loses its disk while it is added` {
         @Test
-        fun `does not bar the one that comes after it`() {
-            val cluster = FakeCluster(Random(SEED), 3, Chaos(0.0, 0.0, 0.0), namesReceiver = true, learnerSilenceMillis = 1000)
+        fun `does not block the member added after it`() {
+            val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), namesReceiver = true, learnerSilenceMillis = 1000)
             cluster.runUntil(3.seconds)
             val leader = cluster.nodes.values.single { it.holdsMajority }
             val lost = cluster.nodes.values.first { it !== leader }
@@ -178,7 +178,7 @@
             fun replaceBy(id: String) {
                 val address = MemberAddress(MemberId(id), lost.address.address)
                 val request = MembershipRequest(MembershipAction.REPLACE, address.member, address.address, lost.id)
-                cluster.change(leader, request) { results += it }
+                cluster.changeMembership(leader, request) { results += it }
                 cluster.runUntil(cluster.now + 1.5.seconds)
             }
             replaceBy("gone")
@@ -190,29 +190,29 @@
     }
 
     @Nested
-    inner class `a leader that was cut off` {
+    inner class `a leader that was isolated` {
         @Test
-        fun `loses its majority and steps down, and another leads`() {
-            run(3)
-            val old = leader()
-            cut(old)
-            run(3)
-            assertFalse(old.holdsMajority)
-            assertTrue(old.core?.role != Role.LEADER)
-            assertTrue(leader() !== old)
+        fun `loses its majority and steps down, and another member is elected`() {
+            advance(3)
+            val oldLeader = leader()
+            isolate(oldLeader)
+            advance(3)
+            assertFalse(oldLeader.holdsMajority)
+            assertTrue(oldLeader.core?.role != Role.LEADER)
+            assertTrue(leader() !== oldLeader)
         }
     }
 
     @Nested
     inner class `three founding members` {
         @Test
-        fun `stay inactive until all were seen`() {
+        fun `stay inactive until all of them have started`() {
             val last = cluster.nodes.values.last()
             cluster.crash(last)
-            run(10)
+            advance(10)
             assertTrue(cluster.nodes.values.none { it.holdsMajority })
             cluster.start(last)
-            run(3)
+            advance(3)
             leader()
         }
     }
@@ -221,16 +221,16 @@
     inner class `many proposals in one batch` {
         @Test
         fun `share one write and one request to each member`() {
-            run(3)
+            advance(3)
             val leader = leader()
             val core = checkNotNull(leader.core)
             repeat(100) {
-                cluster.checker.call("c$it", cluster.now)
+                cluster.checker.onCall("c$it", cluster.now)
                 core.onPropose(it + 1_000_000L, "c$it")
             }
-            val output = core.take(leader.time)
+            val output = core.takeOutput(leader.clock)
             assertEquals(1, output.writes.size)
-            assertEquals(2, output.atOnce.size)
+            assertEquals(2, output.immediateEffects.size)
         }
     }
 
@@ -240,17 +240,17 @@
         private val members = Membership(1, listOf(address("a"), peer, address("c")), emptyList(), emptyList())
         private val stored =
             StoredState(
-                VoteState(MemberId("a"), term = 3, stage = FoundingStage.ACTIVE),
+                VoteState(MemberId("a"), term = 3, stage = BootstrapStage.ACTIVE),
                 null,
                 listOf(
                     LogRecord(1, 0, RecordKind.MEMBERSHIP, WireJson.encodeToString(members)),
-                    LogRecord(2, 2, RecordKind.COMMAND, "x".repeat(LONG_COMMAND)),
+                    LogRecord(2, 2, RecordKind.COMMAND, "x".repeat(LONG_COMMAND_CHARACTERS)),
                 ),
             )
-        private val core = RaftCore(address("a"), members.voters, false, LogSettings(), ListMachine(), stored, Random(SEED), 0.seconds)
+        private val core = RaftCore(address("a"), members.voters, false, LogSettings(), ListStateMachine(), stored, Random(SEED), 0.seconds)
 
         private fun sent(output: Output) =
-            (output.atOnce + output.afterSync)
+            (output.immediateEffects + output.effectsAfterSync)
                 .filterIsInstance<Effect.Send>()
                 .filter { it.to == peer }
                 .map { it.request }
@@ -262,29 +262,29 @@
         ): List<PeerRequest> {
             val round = (request as PeerRequest.Append).body.round
             core.onResponse(2.seconds, peer, request, PeerResponse.Append(AppendResponse(4, round, accepted, lastIndex)))
-            return sent(core.take(2.seconds))
+            return sent(core.takeOutput(2.seconds))
         }
 
         private fun grant(requests: List<PeerRequest>): List<PeerRequest> {
-            val response = VoteResponse(4, granted = true, stage = FoundingStage.ACTIVE)
+            val response = VoteResponse(4, granted = true, stage = BootstrapStage.ACTIVE)
             core.onResponse(2.seconds, peer, requests.single(), PeerResponse.Vote(response))
-            return sent(core.take(2.seconds).also { core.onSynced(it.number) })
+            return sent(core.takeOutput(2.seconds).also { core.onSynced(it.sequenceNumber) })
         }
 
         @Test
-        fun `sends none to a voter that holds nothing`() {
+        fun `sends no records to a voter with an empty log`() {
             core.onTick(2.seconds)
-            val first = grant(grant(sent(core.take(2.seconds))))
+            val first = grant(grant(sent(core.takeOutput(2.seconds))))
             assertEquals(emptyList(), answer(first.single(), accepted = false, lastIndex = 0))
             core.onTick(2.5.seconds)
-            val next = assertIs<PeerRequest.Append>(sent(core.take(2.5.seconds)).single())
+            val next = assertIs<PeerRequest.Append>(sent(core.takeOutput(2.5.seconds)).single())
             assertEquals(emptyList(), next.body.records)
         }
 
         @Test
-        fun `commits them only with a record of its own term`() {
+        fun `commits them only together with a record of its own term`() {
             core.onTick(2.seconds)
-            val first = grant(grant(sent(core.take(2.seconds))))
+            val first = grant(grant(sent(core.takeOutput(2.seconds))))
             val second = answer(first.single(), accepted = false, lastIndex = 1)
             val third = answer(second.single(), accepted = true, lastIndex = 2)
             assertEquals(0, core.status().commitIndex)
@@ -299,27 +299,27 @@
         private val new = Membership(2, listOf("a", "b", "d").map(::address), emptyList(), listOf(MemberId("c")))
         private val stored =
             StoredState(
-                VoteState(MemberId("a"), term = 1, stage = FoundingStage.ACTIVE),
+                VoteState(MemberId("a"), term = 1, stage = BootstrapStage.ACTIVE),
                 null,
                 listOf(old, new).map { LogRecord(it.index, it.index - 1, RecordKind.MEMBERSHIP, WireJson.encodeToString(it)) },
             )
-        private val core = RaftCore(address("a"), old.voters, false, LogSettings(), ListMachine(), stored, Random(SEED), 0.seconds)
+        private val core = RaftCore(address("a"), old.voters, false, LogSettings(), ListStateMachine(), stored, Random(SEED), 0.seconds)
 
-        private fun trials() = core.take(2.seconds).afterSync.filterIsInstance<Effect.Send>()
+        private fun preVoteRequests() = core.takeOutput(2.seconds).effectsAfterSync.filterIsInstance<Effect.Send>()
 
-        private fun grant(trial: Effect.Send) {
-            val response = VoteResponse(1, granted = true, stage = FoundingStage.ACTIVE)
-            core.onResponse(2.seconds, trial.to, trial.request, PeerResponse.Vote(response))
+        private fun grant(preVoteRequest: Effect.Send) {
+            val response = VoteResponse(1, granted = true, stage = BootstrapStage.ACTIVE)
+            core.onResponse(2.seconds, preVoteRequest.to, preVoteRequest.request, PeerResponse.Vote(response))
         }
 
         @Test
-        fun `needs the old voters too for an election`() {
+        fun `also needs a majority of the old voters for an election`() {
             core.onTick(2.seconds)
-            val trials = trials().associateBy { it.to.member.value }
-            assertEquals(setOf("b", "c", "d"), trials.keys)
-            grant(trials.getValue("d"))
+            val preVoteRequests = preVoteRequests().associateBy { it.to.member.value }
+            assertEquals(setOf("b", "c", "d"), preVoteRequests.keys)
+            grant(preVoteRequests.getValue("d"))
             assertEquals(1, core.term)
-            grant(trials.getValue("b"))
+            grant(preVoteRequests.getValue("b"))
             assertEquals(2, core.term)
         }
     }
@@ -328,17 +328,17 @@
     inner class `a retired member` {
         private val members = Membership(5, listOf("a", "b", "d").map(::address), emptyList(), listOf(MemberId("c")))
         private val stored =
-            StoredState(VoteState(MemberId("a"), 1, null, FoundingStage.ACTIVE), StoredSnapshot(6, 1, members, ""), emptyList())
-        private val core = RaftCore(address("a"), members.voters, false, LogSettings(), ListMachine(), stored, Random(SEED), 0.seconds)
+            StoredState(VoteState(MemberId("a"), 1, null, BootstrapStage.ACTIVE), StoredSnapshot(6, 1, members, ""), emptyList())
+        private val core = RaftCore(address("a"), members.voters, false, LogSettings(), ListStateMachine(), stored, Random(SEED), 0.seconds)
 
         private fun answer(request: PeerRequest): PeerResponse {
             core.onRequest(2.seconds, 1, request)
-            val reply = core.take(2.seconds).afterSync.single()
+            val reply = core.takeOutput(2.seconds).effectsAfterSync.single()
             return assertIs<Effect.Reply>(reply).response
         }
 
         @Test
-        fun `gets no vote, no acknowledgement, and changes no term`() {
+        fun `gets no vote and no acknowledgement, and does not change the term`() {
             val vote = VoteRequest(9, MemberId("c"), 99, 8, preVote = false)
             assertFalse(assertIs<PeerResponse.Vote>(answer(PeerRequest.Vote(vote))).body.granted)
             val append = AppendRequest(9, address("c"), 1, 6, 1, emptyList(), 6)
@@ -351,11 +351,11 @@
     }
 
     private companion object {
-        /** Longer than what fits into one request with a further record (characters). */
-        const val LONG_COMMAND = 1_100_000
+        /** Too long to share a request with another record. */
+        const val LONG_COMMAND_CHARACTERS = 1_100_000
 
         const val SEED = 7L
-        const val LOSSES = 40
-        const val CHANGES = 300
+        const val POWER_LOSSES = 40
+        const val COMMANDS = 300
     }
 }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/FakeDisk.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/SimulatedDisk.kt
@@ -3,29 +3,29 @@
 import io.bluebellramp.messages.LogRecord
 import kotlin.random.Random
 
-/** A disk that keeps what is synced; a crash loses any part of the rest. */
-internal class FakeDisk {
+/** A disk in memory that keeps what is synced. A crash keeps a random number of the first unsynced writes and loses the others. */
+internal class SimulatedDisk {
     var state = StoredState(null, null, emptyList())
         private set
-    private var unsynced = emptyList<StorageWrite>()
+    private var unsyncedWrites = emptyList<StorageWrite>()
 
-    fun begin(writes: List<StorageWrite>) {
-        unsynced = writes
+    fun beginWrite(writes: List<StorageWrite>) {
+        unsyncedWrites = writes
     }
 
     fun sync() {
-        unsynced.forEach(::store)
-        unsynced = emptyList()
+        unsyncedWrites.forEach(::store)
+        unsyncedWrites = emptyList()
     }
 
     fun crash(random: Random) {
-        unsynced.take(random.nextInt(unsynced.size + 1)).forEach(::store)
-        unsynced = emptyList()
+        unsyncedWrites.take(random.nextInt(unsyncedWrites.size + 1)).forEach(::store)
+        unsyncedWrites = emptyList()
     }
 
     fun wipe() {
         state = StoredState(null, null, emptyList())
-        unsynced = emptyList()
+        unsyncedWrites = emptyList()
     }
 
     private fun store(write: StorageWrite) {
--- a/replication/src/test/kotlin/io/bluebellramp/replication/SyncedIndexTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/SyncedIndexTest.kt
@@ -5,20 +5,20 @@
 import kotlin.test.assertEquals
 
 class SyncedIndexTest {
-    private val synced = SyncedIndex(10)
+    private val syncedIndex = SyncedIndex(10)
 
     @Nested
-    inner class `records that were dropped` {
+    inner class `truncated records` {
         @Test
-        fun `do not count as synced, whether they were or not`() {
-            synced.issued(1, 15)
-            synced.truncated(6)
-            assertEquals(5, synced.index)
-            synced.issued(2, 8)
-            synced.synced(1)
-            assertEquals(5, synced.index)
-            synced.synced(2)
-            assertEquals(8, synced.index)
+        fun `are not counted as synced, even if their output is synced later`() {
+            syncedIndex.addPending(1, 15)
+            syncedIndex.truncateFrom(6)
+            assertEquals(5, syncedIndex.index)
+            syncedIndex.addPending(2, 8)
+            syncedIndex.markSynced(1)
+            assertEquals(5, syncedIndex.index)
+            syncedIndex.markSynced(2)
+            assertEquals(8, syncedIndex.index)
         }
     }
 }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/VoteDurabilityTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/VoteDurabilityTest.kt
@@ -14,43 +14,43 @@
 class VoteDurabilityTest {
     private val members = Membership(1, listOf("a", "b", "c").map(::address), emptyList(), emptyList())
     private val disk =
-        FakeDisk().apply {
-            begin(
+        SimulatedDisk().apply {
+            beginWrite(
                 listOf(
-                    StorageWrite.Vote(VoteState(MemberId("a"), 1, null, FoundingStage.ACTIVE)),
+                    StorageWrite.Vote(VoteState(MemberId("a"), 1, null, BootstrapStage.ACTIVE)),
                     StorageWrite.Snapshot(StoredSnapshot(3, 1, members, ""), emptyList()),
                 ),
             )
             sync()
         }
 
-    private fun core() = RaftCore(address("a"), members.voters, false, LogSettings(), ListMachine(), disk.state, Random(1), 0.seconds)
+    private fun core() = RaftCore(address("a"), members.voters, false, LogSettings(), ListStateMachine(), disk.state, Random(1), 0.seconds)
 
-    private fun ask(
+    private fun requestVote(
         core: RaftCore,
         candidate: String,
     ): Output {
         core.onRequest(2.seconds, 1, PeerRequest.Vote(VoteRequest(5, MemberId(candidate), 3, 1, preVote = false)))
-        return core.take(2.seconds)
+        return core.takeOutput(2.seconds)
     }
 
     private fun isGranted(output: Output): Boolean {
-        assertTrue(output.atOnce.isEmpty())
-        val reply = assertIs<Effect.Reply>(output.afterSync.single())
+        assertTrue(output.immediateEffects.isEmpty())
+        val reply = assertIs<Effect.Reply>(output.effectsAfterSync.single())
         return assertIs<PeerResponse.Vote>(reply.response).body.granted
     }
 
     @Nested
-    inner class `a member that voted and restarts` {
+    inner class `a member that restarts after it voted` {
         @Test
-        fun `votes for no other candidate in that term`() {
-            val output = ask(core(), "b")
+        fun `does not vote for another candidate in that term`() {
+            val output = requestVote(core(), "b")
             assertTrue(isGranted(output))
-            disk.begin(output.writes)
+            disk.beginWrite(output.writes)
             disk.sync()
             val restarted = core()
-            assertEquals(false, isGranted(ask(restarted, "c")))
-            assertEquals(true, isGranted(ask(restarted, "b")))
+            assertEquals(false, isGranted(requestVote(restarted, "c")))
+            assertEquals(true, isGranted(requestVote(restarted, "b")))
         }
     }
 }
