--- a/agent/src/benchmark/kotlin/io/bluebellramp/agent/FakeEntryBench.kt
+++ b/agent/src/benchmark/kotlin/io/bluebellramp/agent/FakeEntryBench.kt
@@ -7,17 +7,17 @@
 
 private const val SLOTS = 8
 
-/** Gives the agent that dials `ADDRESS` so many tasks, one after the other in each of 8 slots: `ADDRESS TASKS`. */
+/** Listens as an entry on `ADDRESS` and measures how long an agent takes to run `TASKS` tasks in 8 slots. Arguments: `ADDRESS TASKS`. */
 fun main(args: Array<String>) {
     val (address, tasks) = args
     FakeEntry(address = Address(address), slots = SLOTS).use { entry ->
         synchronized(entry.payloads) { repeat(tasks.toInt()) { entry.payloads += "echo:hello" } }
-        val done = IntArray(TaskStatus.entries.size)
-        val time =
+        val countByStatus = IntArray(TaskStatus.entries.size)
+        val elapsed =
             measureTime {
                 runBlocking {
                     repeat(tasks.toInt()) {
-                        done[
+                        countByStatus[
                             entry.outcomes
                                 .receive()
                                 .status.ordinal,
@@ -25,6 +25,6 @@
                     }
                 }
             }
-        println("$tasks tasks in $time: " + TaskStatus.entries.joinToString { "${it.name.lowercase()} ${done[it.ordinal]}" })
+        println("$tasks tasks in $elapsed: " + TaskStatus.entries.joinToString { "${it.name.lowercase()} ${countByStatus[it.ordinal]}" })
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentAction.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentAction.kt
@@ -8,10 +8,10 @@
 import io.bluebellramp.messages.TaskReference
 import kotlin.time.Duration
 
-/** What an agent does next, as [AgentCore.step] decided. */
+/** An action for the process to perform, decided by [AgentCore.step]. */
 internal sealed interface AgentAction {
-    /** Sends [frame]. Frames of one connection keep their order; those that wait may be merged. */
-    data class Send(
+    /** Sends [frame]. Frames of one connection stay in order; queued frames may be merged into one. */
+    data class SendFrame(
         val connection: ConnectionId,
         val frame: AgentFrame,
     ) : AgentAction
@@ -19,40 +19,40 @@
     /**
      * Calls the target at [address] once and reports an [AgentInput.CallEnded] within [timeout].
      *
-     * @property before moment of the monotonic clock from which on the call must not be written, the end of the permit
+     * @property sendDeadline monotonic time at which the permit expires; from then on the call must not be sent
      */
-    data class Start(
+    data class CallTarget(
         val call: TargetCall,
         val address: Address,
-        val before: Duration,
+        val sendDeadline: Duration,
         val timeout: Duration,
     ) : AgentAction
 
-    /** Logs and counts a start, if [refusal] is null, or a refusal. */
-    data class Decided(
+    /** Logs and counts the start of an attempt, or its refusal if [refusal] is not null. */
+    data class RecordDecision(
         val reference: TaskReference,
         val refusal: Refusal?,
         val target: TargetId?,
         val revision: Revision,
     ) : AgentAction
 
-    /** Counts an outcome that reaches nobody. */
-    data class Dropped(
+    /** Counts an outcome that will not be delivered to any entry. */
+    data class CountDroppedOutcome(
         val reason: DropReason,
     ) : AgentAction
 }
 
-/** Why an outcome reaches nobody. */
+/** Why an outcome is not delivered to any entry. */
 internal enum class DropReason {
-    /** The entry that asked for the task has restarted. */
+    /** The entry that dispatched the task has restarted. */
     OTHER_ENTRY_INCARNATION,
 
-    /** Nobody received or asked for the outcome in time. */
+    /** No entry received or asked for the outcome within [AgentOptions.outcomeTtl]. */
     EXPIRED,
 
-    /** The results that nobody had received took too much memory. */
+    /** The outcomes that no entry had received exceeded [AgentOptions.maxOutcomeBytes]. */
     TOO_LARGE,
 
-    /** The call had already been answered. */
+    /** The end of the call had already been handled. */
     LATE,
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentCore.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentCore.kt
@@ -13,9 +13,10 @@
 import io.bluebellramp.placement.QueueDemand
 
 /**
- * Decides everything that an agent does. No I/O: [step] takes what happened and returns what to do.
+ * The decision logic of an agent, without I/O: [step] takes an event and returns the actions to perform.
  *
- * Confined to one coroutine. It reads the clock again at each start, so that a process which was frozen starts nothing stale.
+ * Confined to one coroutine. The clock is read again before each start, so that a process that was frozen does not start a task
+ * on an expired permit or past its deadline.
  */
 internal class AgentCore(
     private val hello: AgentHello,
@@ -23,92 +24,93 @@
     options: AgentOptions = AgentOptions(),
     policy: GrantPolicy = Placement.grants(),
 ) {
-    private val out = Outbox()
+    private val outbox = Outbox()
     private val connections = LinkedHashMap<ConnectionId, EntryConnection>()
     private val permits = PermitHolder(clock, options)
     private val target = TargetPresence(clock, options)
-    private val gate = StartGate(permits, target)
-    private val desk = OutcomeDesk(clock, options, connections, out)
-    private val issuer = CreditIssuer(policy, clock, options)
-    private val starter = Starter(hello.incarnation, clock, options, permits, target, gate, desk, connections, out)
-    private var toldTarget: TargetState? = null
+    private val startGate = StartGate(permits, target)
+    private val outcomeDelivery = OutcomeDelivery(clock, options, connections, outbox)
+    private val creditIssuer = CreditIssuer(policy, clock, options)
+    private val scheduler =
+        AttemptScheduler(hello.incarnation, clock, options, permits, target, startGate, outcomeDelivery, connections, outbox)
+    private var reportedTarget: TargetState? = null
 
-    /** Takes [input] and returns what to do now, in order. */
+    /** Handles [input] and returns the actions to perform, in order. */
     fun step(input: AgentInput): List<AgentAction> {
         when (input) {
-            is AgentInput.ConnectionOpened -> opened(input.connection)
-            is AgentInput.ConnectionClosed -> closed(input.connection)
-            is AgentInput.FrameReceived -> connections[input.connection]?.let { received(it, input.frame) }
-            is AgentInput.TargetAnnounced -> announced(input.announcement)
-            is AgentInput.TargetLeft -> target.left()
-            is AgentInput.CallEnded -> starter.ended(input)
-            is AgentInput.Tick -> expire()
-            is AgentInput.Leave -> leave()
+            is AgentInput.ConnectionOpened -> onConnectionOpened(input.connection)
+            is AgentInput.ConnectionClosed -> onConnectionClosed(input.connection)
+            is AgentInput.FrameReceived -> connections[input.connection]?.let { onFrameReceived(it, input.frame) }
+            is AgentInput.TargetAnnounced -> onTargetAnnounced(input.announcement)
+            is AgentInput.TargetLeft -> target.onLeft()
+            is AgentInput.CallEnded -> scheduler.onCallEnded(input)
+            is AgentInput.Tick -> expireStoredState()
+            is AgentInput.ShutdownRequested -> onShutdownRequested()
         }
-        settle()
-        return out.drain()
+        reconcile()
+        return outbox.drain()
     }
 
-    /** The state at this moment. */
-    fun view() =
-        AgentView(
-            tasksRunning = starter.tasks.running,
-            tasksQueued = starter.tasks.queued,
-            requestsRunning = starter.requests.running,
+    /** Returns the current state of the agent. */
+    fun snapshot() =
+        AgentSnapshot(
+            tasksRunning = scheduler.taskQueue.running,
+            tasksQueued = scheduler.taskQueue.queued,
+            requestsRunning = scheduler.requestQueue.running,
             slots = permits.slots,
-            permit = permits.state(),
-            permitLeft = permits.left,
+            permitState = permits.state(),
+            permitTimeLeft = permits.timeLeft,
             revision = permits.revision,
-            taskTime = permits.taskTime,
+            taskTimeout = permits.taskTimeout,
             entries = permits.entries,
-            ledgerTasks = starter.ledger.size,
-            ledgerBytes = starter.ledger.bytes,
-            outcomesKept = desk.size,
-            isDrained = gate.isLeaving && starter.isIdle && !desk.hasWaiting(),
+            ledgerTasks = scheduler.ledger.size,
+            ledgerBytes = scheduler.ledger.bytes,
+            pendingOutcomes = outcomeDelivery.size,
+            isDrained = startGate.isLeaving && scheduler.isIdle && !outcomeDelivery.hasPending(),
         )
 
-    private fun opened(id: ConnectionId) {
+    private fun onConnectionOpened(id: ConnectionId) {
         connections[id] = EntryConnection(id)
-        out.send(id, AgentFrame(hello = hello, target = target.state, leaving = gate.isLeaving))
+        outbox.send(id, AgentFrame(hello = hello, target = target.state, leaving = startGate.isLeaving))
     }
 
-    private fun closed(id: ConnectionId) {
+    private fun onConnectionClosed(id: ConnectionId) {
         val connection = connections.remove(id) ?: return
-        starter.refuseQueued(Refusal.CONNECTION_LOST, id)
-        val run = connection.run ?: return
-        connections.values.lastOrNull { it.run?.entry == run.entry }?.isNewest = true
+        scheduler.refuseQueued(Refusal.CONNECTION_LOST, id)
+        val peer = connection.peer ?: return
+        connections.values.lastOrNull { it.peer?.entry == peer.entry }?.isNewest = true
     }
 
-    /** The parts are taken in an order in which none depends on a later one. */
-    private fun received(
+    /** Handles the parts of [frame] in an order in which no part depends on a later one. */
+    private fun onFrameReceived(
         connection: EntryConnection,
         frame: EntryFrame,
     ) {
-        frame.hello?.let { greeted(connection, it) }
+        frame.hello?.let { onHello(connection, it) }
         frame.permit?.let { permits.accept(connection.id, it) }
-        frame.received?.let { desk.received(connection, it) }
+        frame.received?.let { outcomeDelivery.acknowledge(connection, it) }
         frame.returned?.let {
-            connection.slots.returned(it.slots)
-            connection.connections.returned(it.connections)
+            connection.taskCredits.takeBack(it.slots)
+            connection.requestCredits.takeBack(it.connections)
         }
-        starter.useLimits()
-        frame.cancels.forEach { starter.cancel(connection, it) }
-        frame.inquiries.forEach { starter.inquire(connection, it) }
-        frame.dispatches.forEach { starter.dispatch(connection, it) }
-        connection.demand = demand(connection, frame)
+        scheduler.applyPermitLimits()
+        frame.cancels.forEach { scheduler.cancel(connection, it) }
+        frame.inquiries.forEach { scheduler.inquire(connection, it) }
+        frame.dispatches.forEach { scheduler.dispatch(connection, it) }
+        connection.demand = updatedDemand(connection, frame)
     }
 
-    private fun greeted(
+    private fun onHello(
         connection: EntryConnection,
         hello: EntryHello,
     ) {
-        val run = EntryRun(hello.entry, hello.incarnation)
-        connection.run = run
-        connections.values.filter { it.run?.entry == run.entry }.forEach { it.isNewest = it === connection }
-        desk.greeted(run)
+        val peer = EntryIncarnation(hello.entry, hello.incarnation)
+        connection.peer = peer
+        connections.values.filter { it.peer?.entry == peer.entry }.forEach { it.isNewest = it === connection }
+        outcomeDelivery.onHello(peer)
     }
 
-    private fun demand(
+    private fun updatedDemand(
         connection: EntryConnection,
         frame: EntryFrame,
     ): QueueDemand {
@@ -118,44 +120,44 @@
         return connection.demand.copy(tasks = (connection.demand.tasks - dispatched).coerceAtLeast(0))
     }
 
-    private fun announced(announcement: TargetAnnouncement) {
-        val earlier = target.announcement
-        target.announced(announcement)
-        if (earlier == null || (earlier.target == announcement.target && earlier.service == announcement.service)) return
-        starter.refuseQueued(Refusal.NO_TARGET)
+    private fun onTargetAnnounced(announcement: TargetAnnouncement) {
+        val previous = target.announcement
+        target.onAnnounced(announcement)
+        if (previous == null || (previous.target == announcement.target && previous.service == announcement.service)) return
+        scheduler.refuseQueued(Refusal.NO_TARGET)
     }
 
-    private fun leave() {
-        gate.isLeaving = true
-        connections.keys.forEach { out.send(it, AgentFrame(leaving = true)) }
+    private fun onShutdownRequested() {
+        startGate.isLeaving = true
+        connections.keys.forEach { outbox.send(it, AgentFrame(leaving = true)) }
     }
 
-    private fun expire() {
-        starter.ledger.expire()
-        desk.expire()
+    private fun expireStoredState() {
+        scheduler.ledger.expire()
+        outcomeDelivery.expire()
     }
 
-    private fun settle() {
-        tellTarget()
-        starter.startQueued()
+    private fun reconcile() {
+        reportTargetState()
+        scheduler.startQueued()
         val all = connections.values.toList()
-        val closed = gate.refusal()
-        if (closed == null) {
-            issuer.issue(all, starter.tasks, starter.requests, out)
+        val refusal = startGate.refusal()
+        if (refusal == null) {
+            creditIssuer.issue(all, scheduler.taskQueue, scheduler.requestQueue, outbox)
         } else {
-            starter.refuseQueued(closed)
-            issuer.recallAll(all, out)
+            scheduler.refuseQueued(refusal)
+            creditIssuer.recallAll(all, outbox)
         }
-        val request = permits.request(all.filter { it.run != null }.map { it.id }) ?: return
-        out.send(request.connection, AgentFrame(permitRequest = request.request))
+        val request = permits.nextRequest(all.filter { it.peer != null }.map { it.id }) ?: return
+        outbox.send(request.connection, AgentFrame(permitRequest = request.request))
     }
 
-    private fun tellTarget() {
+    private fun reportTargetState() {
         val state = target.state
-        val told = toldTarget
-        if (state == null || state == told) return
-        toldTarget = state
-        if (told != null && (!state.present || state.target != told.target)) issuer.forgetAll(connections.values)
-        connections.keys.forEach { out.send(it, AgentFrame(target = state)) }
+        val reported = reportedTarget
+        if (state == null || state == reported) return
+        reportedTarget = state
+        if (reported != null && (!state.present || state.target != reported.target)) creditIssuer.clearAll(connections.values)
+        connections.keys.forEach { outbox.send(it, AgentFrame(target = state)) }
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentInput.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentInput.kt
@@ -5,20 +5,20 @@
 import io.bluebellramp.messages.TaskReference
 import kotlin.time.Duration
 
-/** Names one connection to an entry. Ids are never used again in one run of the agent. */
+/** Identifies one connection to an entry. Ids are not reused while the agent process runs. */
 @JvmInline
 internal value class ConnectionId(
     val value: Long,
 )
 
-/** What happens to an agent, for [AgentCore.step]. */
+/** An event that [AgentCore.step] handles. */
 internal sealed interface AgentInput {
     /** A connection to an entry opened. */
     data class ConnectionOpened(
         val connection: ConnectionId,
     ) : AgentInput
 
-    /** A connection to an entry closed, by whichever side. */
+    /** A connection to an entry was closed by either side. */
     data class ConnectionClosed(
         val connection: ConnectionId,
     ) : AgentInput
@@ -29,24 +29,24 @@
         val frame: EntryFrame,
     ) : AgentInput
 
-    /** The target beside the agent announced itself. */
+    /** The target of this agent announced itself. */
     data class TargetAnnounced(
         val announcement: TargetAnnouncement,
     ) : AgentInput
 
-    /** The target said that it leaves. */
+    /** The target reported that it is leaving. */
     data object TargetLeft : AgentInput
 
-    /** A call that [AgentAction.Start] asked for has ended after it [ran] so long. */
+    /** A call requested by [AgentAction.CallTarget] ended after [duration]. */
     data class CallEnded(
         val reference: TaskReference,
         val result: CallResult,
-        val ran: Duration,
+        val duration: Duration,
     ) : AgentInput
 
-    /** Time has passed. Due every [AgentOptions.tick]. */
+    /** Time has passed. Sent every [AgentOptions.tickInterval]. */
     data object Tick : AgentInput
 
-    /** The process shuts down. */
-    data object Leave : AgentInput
+    /** The process is to finish its running work and exit. */
+    data object ShutdownRequested : AgentInput
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentOptions.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentOptions.kt
@@ -7,28 +7,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Times and bounds of an agent that operators need not set.
+ * Timeouts, intervals and limits of an agent that operators need not configure.
  *
- * @property prefetch tasks that wait at the agent beyond its slots, to hide the round trip to the entries
- * @property permitPeriod time between permit requests in service
- * @property outPermitPeriod time between permit requests out of service, shorter so that the return is seen soon
- * @property permitPatience how long an entry may take to answer a permit request before the next one is asked
- * @property recallPatience how long an entry may take to return recalled credits before they are written off
- * @property submissionLife how long after the time inside its id a submission may start
- * @property clockSkew how far the time inside an id may lie in the future
- * @property outcomeLife how long an outcome waits to be received
- * @property outcomeBytes results that may wait to be received (bytes)
+ * @property prefetch tasks that may wait at the agent beyond its slots, to hide the round trip to the entries
+ * @property permitInterval time between permit requests while in service
+ * @property outOfServicePermitInterval time between permit requests while out of service; shorter, to notice the return to service soon
+ * @property permitTimeout how long an entry may take to answer a permit request before the next entry is asked
+ * @property recallTimeout how long an entry may take to return recalled credits before they count as lost
+ * @property announcementTtl how long the target counts as present after an announcement
+ * @property submissionTtl how long after the time in its id a submission may start
+ * @property maxClockSkew how far in the future the time in a submission id may lie
+ * @property outcomeTtl how long an outcome is kept for its entry to receive it
+ * @property maxOutcomeBytes memory for outcomes that no entry has received yet, estimated (bytes)
  */
 internal data class AgentOptions(
     val prefetch: Int = 0,
-    val tick: Duration = 50.milliseconds,
-    val permitPeriod: Duration = 300.milliseconds,
-    val outPermitPeriod: Duration = 100.milliseconds,
-    val permitPatience: Duration = 200.milliseconds,
-    val recallPatience: Duration = 2.seconds,
-    val announcementLife: Duration = 2.seconds,
-    val submissionLife: Duration = SubmissionId.LIFE,
-    val clockSkew: Duration = 1.minutes,
-    val outcomeLife: Duration = 1.minutes,
-    val outcomeBytes: Long = 8L * 1024 * 1024,
+    val tickInterval: Duration = 50.milliseconds,
+    val permitInterval: Duration = 300.milliseconds,
+    val outOfServicePermitInterval: Duration = 100.milliseconds,
+    val permitTimeout: Duration = 200.milliseconds,
+    val recallTimeout: Duration = 2.seconds,
+    val announcementTtl: Duration = 2.seconds,
+    val submissionTtl: Duration = SubmissionId.LIFE,
+    val maxClockSkew: Duration = 1.minutes,
+    val outcomeTtl: Duration = 1.minutes,
+    val maxOutcomeBytes: Long = 8L * 1024 * 1024,
 )
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentProgram.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentProgram.kt
@@ -35,88 +35,90 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-private const val STOP_GRACE_MILLIS = 100L
-private const val STOP_TIMEOUT_MILLIS = 1000L
+private const val SERVER_STOP_GRACE_MILLIS = 100L
+private const val SERVER_STOP_TIMEOUT_MILLIS = 1000L
 
-/** Longest time of a TCP connection and WebSocket handshake with an entry. */
-private val DIAL_TIME = 5.seconds
-private val LEAVE_MARGIN = 1.seconds
-private val DEFAULT_LEAVE_TIME = 30.seconds
+/** Timeout for the TCP connection and WebSocket handshake with an entry. */
+private val ENTRY_CONNECT_TIMEOUT = 5.seconds
 
-/** The agent as a program: sockets, timers and logs around an [AgentCore], which one coroutine owns. */
+/** Added to the task timeout when waiting for running work, and the time limit for closing the connections. */
+private val SHUTDOWN_MARGIN = 1.seconds
+private val DEFAULT_DRAIN_TIMEOUT = 30.seconds
+
+/** The agent process: sockets, timers and logs around an [AgentCore], which only one coroutine uses. */
 internal class AgentProgram(
     private val settings: AgentSettings,
     private val clock: Clock = SystemClock,
     registry: PrometheusRegistry = PrometheusRegistry(),
 ) : RunningProgram {
-    private val options = AgentOptions(announcementLife = settings.announcementLifeMillis.milliseconds)
+    private val options = AgentOptions(announcementTtl = settings.announcementLifeMillis.milliseconds)
     private val key = SharedKey.read(settings.keyFile, settings.listen.host)
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val inputs = Channel<AgentInput>(Channel.UNLIMITED)
     private val metrics = AgentMetrics(registry)
     private val core = AgentCore(AgentHello(settings.agent, IncarnationId.next(), settings.site, settings.zone), clock, options)
-    private val views = MutableStateFlow(core.view())
-    private val target = TargetLink(clock)
-    private val entryClient = httpLink(key, connectTimeout = DIAL_TIME)
-    private val links = EntryLinks(settings.entries, entryClient, scope, metrics) { inputs.send(it) }
-    private val server = httpServer(settings.listen, PermitHealth(), registry, key) { announcements() }
+    private val snapshots = MutableStateFlow(core.snapshot())
+    private val targetClient = TargetClient(clock)
+    private val entryClient = httpLink(key, connectTimeout = ENTRY_CONNECT_TIMEOUT)
+    private val entryConnector = EntryConnector(settings.entries, entryClient, scope, metrics) { inputs.send(it) }
+    private val server = httpServer(settings.listen, PermitHealth(), registry, key) { targetRoutes() }
 
-    /** Listens and dials the entries. */
+    /** Starts the HTTP server and the coroutines that run the agent; the first tick connects to the entries. */
     fun start() {
         server.start(wait = false)
         scope.launch { for (input in inputs) step(input) }
         scope.launch {
             while (true) {
                 inputs.send(AgentInput.Tick)
-                delay(options.tick)
+                delay(options.tickInterval)
             }
         }
     }
 
     override fun stop() {
         runBlocking {
-            inputs.send(AgentInput.Leave)
-            val longest = (views.value.taskTime ?: DEFAULT_LEAVE_TIME) + LEAVE_MARGIN
-            withTimeoutOrNull(longest) { views.first { it.isDrained } }
-            withTimeoutOrNull(LEAVE_MARGIN) { links.close() }
+            inputs.send(AgentInput.ShutdownRequested)
+            val drainTimeout = (snapshots.value.taskTimeout ?: DEFAULT_DRAIN_TIMEOUT) + SHUTDOWN_MARGIN
+            withTimeoutOrNull(drainTimeout) { snapshots.first { it.isDrained } }
+            withTimeoutOrNull(SHUTDOWN_MARGIN) { entryConnector.close() }
         }
-        server.stop(STOP_GRACE_MILLIS, STOP_TIMEOUT_MILLIS)
+        server.stop(SERVER_STOP_GRACE_MILLIS, SERVER_STOP_TIMEOUT_MILLIS)
         scope.cancel()
-        target.close()
+        targetClient.close()
         entryClient.close()
     }
 
     private fun step(input: AgentInput) {
         core.step(input).forEach(::perform)
-        if (input !is AgentInput.Tick && input !is AgentInput.Leave) return
-        val view = core.view()
-        views.value = view
-        metrics.show(view)
-        if (!view.isDrained) links.dial(view.entries)
+        if (input !is AgentInput.Tick && input !is AgentInput.ShutdownRequested) return
+        val snapshot = core.snapshot()
+        snapshots.value = snapshot
+        metrics.update(snapshot)
+        if (!snapshot.isDrained) entryConnector.connect(snapshot.entries)
     }
 
     private fun perform(action: AgentAction) {
         when (action) {
-            is AgentAction.Send -> links.send(action.connection, action.frame)
-            is AgentAction.Start -> scope.launch { call(action) }
-            is AgentAction.Decided -> decided(action)
-            is AgentAction.Dropped -> metrics.dropped(action.reason)
+            is AgentAction.SendFrame -> entryConnector.send(action.connection, action.frame)
+            is AgentAction.CallTarget -> scope.launch { callTarget(action) }
+            is AgentAction.RecordDecision -> recordDecision(action)
+            is AgentAction.CountDroppedOutcome -> metrics.countDroppedOutcome(action.reason)
         }
     }
 
-    private suspend fun call(start: AgentAction.Start) {
-        val ended = target.call(start)
-        if (ended.result == CallResult.Unknown(TargetLink.CROSSED)) metrics.crossed()
-        inputs.send(ended)
+    private suspend fun callTarget(action: AgentAction.CallTarget) {
+        val callEnded = targetClient.call(action)
+        if (callEnded.result == CallResult.Unknown(TargetClient.MISMATCHED_ANSWER)) metrics.countMismatchedAnswer()
+        inputs.send(callEnded)
     }
 
-    private fun decided(action: AgentAction.Decided) {
-        metrics.decided(action.refusal)
+    private fun recordDecision(action: AgentAction.RecordDecision) {
+        metrics.countDecision(action.refusal)
         val reference = action.reference
         logDecision(
             Decision(
                 kind = if (action.refusal == null) "start" else "refusal",
-                reason = action.refusal?.wording ?: "permitted",
+                reason = action.refusal?.reason ?: "permitted",
                 fields =
                     mapOf(
                         "submission" to reference.submission,
@@ -131,7 +133,7 @@
         )
     }
 
-    private fun Route.announcements() {
+    private fun Route.targetRoutes() {
         post("/v1/target") {
             if (!isLocal(call)) return@post call.respond(HttpStatusCode.Forbidden)
             inputs.send(AgentInput.TargetAnnounced(call.receive()))
@@ -147,6 +149,6 @@
     private fun isLocal(call: RoutingCall) = InetAddress.getByName(call.request.local.remoteAddress).isLoopbackAddress
 
     private inner class PermitHealth : Health {
-        override fun isReady() = views.value.permit == PermitState.LIVE
+        override fun isReady() = snapshots.value.permitState == PermitState.VALID
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentView.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentSnapshot.kt
@@ -4,19 +4,19 @@
 import io.bluebellramp.core.Revision
 import kotlin.time.Duration
 
-/** The state of an agent at one moment, for metrics and the shell. */
-internal data class AgentView(
+/** The state of an agent at one moment, for its metrics and the process around [AgentCore]. */
+internal data class AgentSnapshot(
     val tasksRunning: Int,
     val tasksQueued: Int,
     val requestsRunning: Int,
     val slots: Int,
-    val permit: PermitState,
-    val permitLeft: Duration,
+    val permitState: PermitState,
+    val permitTimeLeft: Duration,
     val revision: Revision,
-    val taskTime: Duration?,
+    val taskTimeout: Duration?,
     val entries: List<Address>,
     val ledgerTasks: Int,
     val ledgerBytes: Long,
-    val outcomesKept: Int,
+    val pendingOutcomes: Int,
     val isDrained: Boolean,
 )
--- a/agent/src/main/kotlin/io/bluebellramp/agent/Attempt.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/Attempt.kt
@@ -6,26 +6,26 @@
 import io.bluebellramp.messages.TaskReference
 import kotlin.time.Duration
 
-/** One run of one entry process, the owner of the attempts that it dispatches. */
-internal data class EntryRun(
+/** One incarnation of an entry, from its start to its exit. It owns the attempts that it dispatches. */
+internal data class EntryIncarnation(
     val entry: EntryId,
     val incarnation: IncarnationId,
 ) {
     companion object {
-        /** Stands for an entry that has not said who it is. */
-        val NONE = EntryRun(EntryId(""), IncarnationId(""))
+        /** Placeholder for an entry that has not sent its hello. */
+        val NONE = EntryIncarnation(EntryId(""), IncarnationId(""))
     }
 }
 
 /**
- * An attempt that waits or runs at this agent.
+ * An attempt that is queued or running at this agent.
  *
- * @property connection the connection that it came on
- * @property deadline moment of the monotonic clock after which it need not start
+ * @property connection the connection on which it was dispatched
+ * @property deadline monotonic time from which on it is refused instead of started
  */
 internal class Attempt(
     val dispatch: Dispatch,
-    val owner: EntryRun,
+    val owner: EntryIncarnation,
     val connection: ConnectionId,
     val deadline: Duration,
 ) {
--- a/agent/src/main/kotlin/io/bluebellramp/agent/CallResult.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/CallResult.kt
@@ -1,23 +1,23 @@
 package io.bluebellramp.agent
 
-/** What came of one call to the target. */
+/** The result of one call to the target. */
 internal sealed interface CallResult {
-    /** The target answered the call with [text]. */
+    /** The target completed the task and returned [text]. */
     data class Done(
         val text: String,
     ) : CallResult
 
-    /** The target ran the task and failed it. */
+    /** The target reported that the task failed. */
     data class Failed(
         val reason: String,
     ) : CallResult
 
-    /** The call may have reached the target, and its outcome cannot be told. */
+    /** The call may have reached the target, and its outcome is unknown. */
     data class Unknown(
         val reason: String,
     ) : CallResult
 
-    /** Nothing of the call was written: the target cannot have started the task. */
+    /** No part of the call was sent, so the target cannot have started the task. */
     data class NotSent(
         val reason: String,
     ) : CallResult
--- a/agent/src/main/kotlin/io/bluebellramp/agent/CreditAccount.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/CreditAccount.kt
@@ -3,65 +3,65 @@
 import kotlin.time.Duration
 
 /**
- * Credits of one kind that one connection was granted. No I/O; confined to the coroutine of the core.
+ * The credits of one kind that were granted on one connection. No I/O; confined to the coroutine of the core.
  *
- * A recalled credit counts until it is returned or spent. An entry that does not return it in time has lost it.
+ * A recalled credit counts until the entry returns or spends it, or until the recall times out.
  */
 internal class CreditAccount {
     private var recalledAt = Duration.ZERO
 
-    /** Granted and neither spent nor returned. */
+    /** Credits that were granted and neither spent nor returned. */
     var unspent = 0
         private set
 
-    /** Those of them that the entry was asked to return. */
-    var recalling = 0
+    /** Unspent credits that the entry was asked to return. */
+    var pendingRecall = 0
         private set
 
-    /** Adds credits. */
+    /** Adds [credits] newly granted credits. */
     fun grant(credits: Int) {
         unspent += credits
     }
 
-    /** Spends a credit if there is one. */
+    /** Spends a credit and returns true, or returns false if there is none. */
     fun spend(): Boolean {
         if (unspent == 0) return false
         unspent--
-        recalling = minOf(recalling, unspent)
+        pendingRecall = minOf(pendingRecall, unspent)
         return true
     }
 
-    /** Takes back credits that the entry returned. None is no answer to a recall: the wait for one goes on. */
-    fun returned(credits: Int) {
+    /** Removes credits that the entry returned. Returning none does not answer a recall, so its timeout keeps running. */
+    fun takeBack(credits: Int) {
         if (credits <= 0) return
         unspent = (unspent - credits).coerceAtLeast(0)
-        recalling = 0
+        pendingRecall = 0
     }
 
-    /** Asks back up to [credits] and tells how many more the entry has to be asked for. */
+    /** Recalls up to [credits] and returns how many more the entry must be asked to return. */
     fun recall(
         credits: Int,
         now: Duration,
     ): Int {
-        val more = credits.coerceIn(0, unspent - recalling)
-        if (more > 0) recalledAt = now
-        recalling += more
-        return more
+        val additional = credits.coerceIn(0, unspent - pendingRecall)
+        if (additional > 0) recalledAt = now
+        pendingRecall += additional
+        return additional
     }
 
-    /** Takes all credits as lost. */
-    fun forget() {
+    /** Discards all credits. */
+    fun clear() {
         unspent = 0
-        recalling = 0
+        pendingRecall = 0
     }
 
-    /** Writes off what was recalled longer than [patience] ago. */
-    fun writeOff(
+    /** Discards the credits whose recall has gone unanswered for [timeout]. */
+    fun expireRecall(
         now: Duration,
-        patience: Duration,
+        timeout: Duration,
     ) {
-        if (recalling == 0 || now - recalledAt < patience) return
-        unspent -= recalling
-        recalling = 0
+        if (pendingRecall == 0 || now - recalledAt < timeout) return
+        unspent -= pendingRecall
+        pendingRecall = 0
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/CreditIssuer.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/CreditIssuer.kt
@@ -8,89 +8,94 @@
 import io.bluebellramp.placement.GrantPolicy
 
 /**
- * Grants the free places of the agent to its entries and recalls them. No I/O; confined to the coroutine of the core.
+ * Grants the free capacity of the agent to its entries as credits, and recalls credits. No I/O; confined to the coroutine of the core.
  *
- * Credits for tasks follow the demand, as [policy] decides. Credits for requests stand: each entry holds an even share.
+ * Credits for tasks follow the demand, as [policy] decides. Credits for requests do not: each entry holds an even share of them.
  */
 internal class CreditIssuer(
     private val policy: GrantPolicy,
     private val clock: Clock,
     private val options: AgentOptions,
 ) {
-    /** Grants what is free in [tasks] and [requests] to [connections] and recalls what others need more. */
+    /** Grants the free places of [taskQueue] and [requestQueue] to [connections] and recalls credits that other entries need more. */
     fun issue(
         connections: List<EntryConnection>,
-        tasks: Lane,
-        requests: Lane,
-        out: Outbox,
+        taskQueue: AttemptQueue,
+        requestQueue: AttemptQueue,
+        outbox: Outbox,
     ) {
-        connections.forEach { writeOff(it) }
-        val entries = connections.filter { it.isNewest && it.run != null }
+        connections.forEach { expireRecalls(it) }
+        val entries = connections.filter { it.isNewest && it.peer != null }
         if (entries.isEmpty()) return
-        issueSlots(entries, free = tasks.places - connections.sumOf { it.slots.unspent }, out = out)
-        issueConnections(entries, requests.limit, free = requests.places - connections.sumOf { it.connections.unspent }, out = out)
+        issueTaskCredits(entries, free = taskQueue.freePlaces - connections.sumOf { it.taskCredits.unspent }, outbox = outbox)
+        issueRequestCredits(
+            entries,
+            requestQueue.limit,
+            free = requestQueue.freePlaces - connections.sumOf { it.requestCredits.unspent },
+            outbox = outbox,
+        )
     }
 
-    /** Asks all credits back. */
+    /** Recalls all credits. */
     fun recallAll(
         connections: List<EntryConnection>,
-        out: Outbox,
+        outbox: Outbox,
     ) {
         for (connection in connections) {
-            writeOff(connection)
-            recall(connection, connection.slots.unspent, connection.connections.unspent, out)
+            expireRecalls(connection)
+            recall(connection, connection.taskCredits.unspent, connection.requestCredits.unspent, outbox)
         }
     }
 
-    /** Takes all credits as lost. Entries drop those of a target that has gone. */
-    fun forgetAll(connections: Collection<EntryConnection>) {
+    /** Discards all credits. Entries discard theirs as well when the target has gone. */
+    fun clearAll(connections: Collection<EntryConnection>) {
         for (connection in connections) {
-            connection.slots.forget()
-            connection.connections.forget()
+            connection.taskCredits.clear()
+            connection.requestCredits.clear()
         }
     }
 
-    private fun issueSlots(
+    private fun issueTaskCredits(
         entries: List<EntryConnection>,
         free: Int,
-        out: Outbox,
+        outbox: Outbox,
     ) {
-        val byEntry = entries.associateBy { entry(it) }
+        val byEntry = entries.associateBy { entryOf(it) }
         val standings =
             byEntry.map { (entry, connection) ->
                 EntryStanding(
                     entry = entry,
-                    unspent = connection.slots.unspent,
+                    unspent = connection.taskCredits.unspent,
                     demand = connection.demand,
-                    recalled = connection.slots.recalling,
+                    recalled = connection.taskCredits.pendingRecall,
                 )
             }
         val decision = policy.decide(free.coerceAtLeast(0), standings)
-        decision.recalls.forEach { (entry, credits) -> byEntry[entry]?.let { recall(it, credits, 0, out) } }
-        var left = free
+        decision.recalls.forEach { (entry, credits) -> byEntry[entry]?.let { recall(it, credits, 0, outbox) } }
+        var remaining = free
         for ((entry, credits) in decision.grants) {
-            val granted = minOf(credits, left)
+            val granted = minOf(credits, remaining)
             if (granted <= 0) continue
-            left -= granted
-            byEntry[entry]?.let { grant(it, granted, 0, out) }
+            remaining -= granted
+            byEntry[entry]?.let { grant(it, granted, 0, outbox) }
         }
     }
 
-    private fun issueConnections(
+    private fun issueRequestCredits(
         entries: List<EntryConnection>,
         limit: Int,
         free: Int,
-        out: Outbox,
+        outbox: Outbox,
     ) {
-        var left = free
-        entries.sortedBy { entry(it).value }.forEachIndexed { place, connection ->
-            val share = limit / entries.size + if (place < limit % entries.size) 1 else 0
-            val held = connection.connections.unspent + connection.openRequests
-            if (held > share) recall(connection, 0, held - share - connection.connections.recalling, out)
-            val granted = minOf(share - held, left)
+        var remaining = free
+        entries.sortedBy { entryOf(it).value }.forEachIndexed { index, connection ->
+            val share = limit / entries.size + if (index < limit % entries.size) 1 else 0
+            val held = connection.requestCredits.unspent + connection.openRequests
+            if (held > share) recall(connection, 0, held - share - connection.requestCredits.pendingRecall, outbox)
+            val granted = minOf(share - held, remaining)
             if (granted > 0) {
-                left -= granted
-                grant(connection, 0, granted, out)
+                remaining -= granted
+                grant(connection, 0, granted, outbox)
             }
         }
     }
@@ -99,29 +104,29 @@
         connection: EntryConnection,
         slots: Int,
         connections: Int,
-        out: Outbox,
+        outbox: Outbox,
     ) {
-        connection.slots.grant(slots)
-        connection.connections.grant(connections)
-        out.send(connection.id, AgentFrame(credits = Credits(slots, connections)))
+        connection.taskCredits.grant(slots)
+        connection.requestCredits.grant(connections)
+        outbox.send(connection.id, AgentFrame(credits = Credits(slots, connections)))
     }
 
     private fun recall(
         connection: EntryConnection,
         slots: Int,
         connections: Int,
-        out: Outbox,
+        outbox: Outbox,
     ) {
         val now = clock.monotonic()
-        val recalled = Credits(connection.slots.recall(slots, now), connection.connections.recall(connections, now))
-        if (recalled.slots > 0 || recalled.connections > 0) out.send(connection.id, AgentFrame(recalled = recalled))
+        val recalled = Credits(connection.taskCredits.recall(slots, now), connection.requestCredits.recall(connections, now))
+        if (recalled.slots > 0 || recalled.connections > 0) outbox.send(connection.id, AgentFrame(recalled = recalled))
     }
 
-    private fun writeOff(connection: EntryConnection) {
+    private fun expireRecalls(connection: EntryConnection) {
         val now = clock.monotonic()
-        connection.slots.writeOff(now, options.recallPatience)
-        connection.connections.writeOff(now, options.recallPatience)
+        connection.taskCredits.expireRecall(now, options.recallTimeout)
+        connection.requestCredits.expireRecall(now, options.recallTimeout)
     }
 
-    private fun entry(connection: EntryConnection): EntryId = checkNotNull(connection.run).entry
+    private fun entryOf(connection: EntryConnection): EntryId = checkNotNull(connection.peer).entry
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/EmbeddedAgent.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/EmbeddedAgent.kt
@@ -17,13 +17,13 @@
 import kotlinx.coroutines.withTimeoutOrNull
 import kotlin.time.Duration
 
-/** Runs tasks and requests inside this process, in place of a target. */
+/** Runs tasks and requests inside this process instead of at a separate target. */
 fun interface TaskRunner {
-    /** Runs [call] and returns its result. An exception fails the task. */
+    /** Runs [call] and returns its result. Any exception is reported as a failure of the task. */
     suspend fun run(call: TargetCall): String
 }
 
-/** What many embedded agents of one process share. */
+/** Resources that the embedded agents of one process share. */
 class EmbeddedAgents(
     internal val client: HttpClient,
     internal val scope: CoroutineScope,
@@ -34,9 +34,9 @@
 }
 
 /**
- * An agent without a listener of its own, whose target is a [TaskRunner] of the same process.
+ * An agent without a server of its own, whose target is a [TaskRunner] in the same process.
  *
- * It makes the same decisions and speaks the same frames as the agent program.
+ * It makes the same decisions and exchanges the same frames as the agent program.
  */
 class EmbeddedAgent(
     hello: AgentHello,
@@ -48,13 +48,13 @@
     private val options = AgentOptions()
     private val inputs = Channel<AgentInput>(Channel.UNLIMITED)
     private val core = AgentCore(hello, shared.clock, options)
-    private val views = MutableStateFlow(core.view())
-    private val links = EntryLinks(entries, shared.client, shared.scope, shared.metrics) { inputs.send(it) }
+    private val snapshots = MutableStateFlow(core.snapshot())
+    private val entryConnector = EntryConnector(entries, shared.client, shared.scope, shared.metrics) { inputs.send(it) }
 
-    /** Whether tasks may start as of the last tick. */
-    val isPermitted: Boolean get() = views.value.permit == PermitState.LIVE
+    /** Whether the permit allowed tasks to start at the last tick. */
+    val isPermitted: Boolean get() = snapshots.value.permitState == PermitState.VALID
 
-    /** Dials the entries and announces the target. */
+    /** Connects to the entries and announces the target. */
     fun start() {
         shared.scope.launch { for (input in inputs) step(input) }
         shared.scope.launch {
@@ -62,46 +62,46 @@
                 inputs.send(AgentInput.TargetAnnounced(target))
                 repeat(TICKS_PER_ANNOUNCEMENT) {
                     inputs.send(AgentInput.Tick)
-                    delay(options.tick)
+                    delay(options.tickInterval)
                 }
             }
         }
     }
 
-    /** Takes no more work, waits up to [longest] for what runs and closes the connections. */
-    suspend fun leave(longest: Duration) {
-        inputs.send(AgentInput.Leave)
-        withTimeoutOrNull(longest) { views.first { it.isDrained } }
-        withTimeoutOrNull(longest) { links.close() }
+    /** Refuses new work, waits up to [timeout] for running work, then closes the connections, again for up to [timeout]. */
+    suspend fun leave(timeout: Duration) {
+        inputs.send(AgentInput.ShutdownRequested)
+        withTimeoutOrNull(timeout) { snapshots.first { it.isDrained } }
+        withTimeoutOrNull(timeout) { entryConnector.close() }
     }
 
     private fun step(input: AgentInput) {
         core.step(input).forEach(::perform)
-        if (input !is AgentInput.Tick && input !is AgentInput.Leave) return
-        val view = core.view()
-        views.value = view
-        if (!view.isDrained) links.dial(view.entries)
+        if (input !is AgentInput.Tick && input !is AgentInput.ShutdownRequested) return
+        val snapshot = core.snapshot()
+        snapshots.value = snapshot
+        if (!snapshot.isDrained) entryConnector.connect(snapshot.entries)
     }
 
     private fun perform(action: AgentAction) {
         when (action) {
-            is AgentAction.Send -> links.send(action.connection, action.frame)
-            is AgentAction.Start -> shared.scope.launch { call(action) }
-            is AgentAction.Decided -> shared.metrics.decided(action.refusal)
-            is AgentAction.Dropped -> shared.metrics.dropped(action.reason)
+            is AgentAction.SendFrame -> entryConnector.send(action.connection, action.frame)
+            is AgentAction.CallTarget -> shared.scope.launch { callTarget(action) }
+            is AgentAction.RecordDecision -> shared.metrics.countDecision(action.refusal)
+            is AgentAction.CountDroppedOutcome -> shared.metrics.countDroppedOutcome(action.reason)
         }
     }
 
-    private suspend fun call(start: AgentAction.Start) {
-        val call = start.call
+    private suspend fun callTarget(action: AgentAction.CallTarget) {
+        val call = action.call
         val began = shared.clock.monotonic()
-        val result = if (began >= start.before) CallResult.NotSent("permit_ran_out") else bounded(start)
+        val result = if (began >= action.sendDeadline) CallResult.NotSent("permit_ran_out") else runWithTimeout(action)
         val reference = TaskReference(call.submission, call.task, call.attempt)
-        inputs.send(AgentInput.CallEnded(reference, result, ran = shared.clock.monotonic() - began))
+        inputs.send(AgentInput.CallEnded(reference, result, duration = shared.clock.monotonic() - began))
     }
 
-    private suspend fun bounded(start: AgentAction.Start): CallResult {
-        val result = withTimeoutOrNull(start.timeout) { runCatching { runner.run(start.call) } } ?: return CallResult.Unknown("timeout")
+    private suspend fun runWithTimeout(action: AgentAction.CallTarget): CallResult {
+        val result = withTimeoutOrNull(action.timeout) { runCatching { runner.run(action.call) } } ?: return CallResult.Unknown("timeout")
         return result.fold(
             onSuccess = { CallResult.Done(it) },
             onFailure = { CallResult.Failed(it.message ?: it.javaClass.simpleName) },
@@ -109,7 +109,7 @@
     }
 
     private companion object {
-        /** A target announces itself every 500 ms. */
+        /** With the default tick interval the target is announced every 500 ms, as a separate target does. */
         const val TICKS_PER_ANNOUNCEMENT = 10
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/EntryConnection.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/EntryConnection.kt
@@ -3,53 +3,53 @@
 import io.bluebellramp.messages.TaskReference
 import io.bluebellramp.placement.QueueDemand
 
-/** What the agent knows of one connection. It ends with the connection. No I/O; confined to the coroutine of the core. */
+/** State of one connection to an entry, discarded when it closes. No I/O; confined to the coroutine of the core. */
 internal class EntryConnection(
     val id: ConnectionId,
 ) {
-    private val sent = ArrayDeque<TaskReference?>()
-    private var received = 0L
+    private val unacknowledged = ArrayDeque<TaskReference?>()
+    private var acknowledgedCount = 0L
 
-    /** The entry at the other end, once it said so. */
-    var run: EntryRun? = null
+    /** The entry at the other end, or null before its hello. */
+    var peer: EntryIncarnation? = null
 
-    /** Whether it is the newest connection of its entry. An older one gets no credits. */
+    /** Whether this is the newest connection of its entry. Older ones get no credits. */
     var isNewest = false
 
-    /** Tasks that wait at the entry, as last reported. */
+    /** Tasks queued at the entry, as last reported. */
     var demand = QueueDemand(tasks = 0, tasksLeft = 0)
 
-    /** Requests that came on this connection and have not ended. */
+    /** Requests that were dispatched on this connection and have not ended. */
     var openRequests = 0
 
     /** Credits for tasks. */
-    val slots = CreditAccount()
+    val taskCredits = CreditAccount()
 
     /** Credits for requests. */
-    val connections = CreditAccount()
+    val requestCredits = CreditAccount()
 
-    /** Notes that an outcome was sent; [isFinal] unless it says that the attempt is running. */
-    fun sent(
+    /** Records that an outcome was sent. [isFinal] is false if it only reports that the attempt is running. */
+    fun recordSent(
         reference: TaskReference,
         isFinal: Boolean,
     ) {
-        sent.addLast(reference.takeIf { isFinal })
-        if (sent.size <= SENT_KEPT) return
-        sent.removeFirst()
-        received++
+        unacknowledged.addLast(reference.takeIf { isFinal })
+        if (unacknowledged.size <= MAX_UNACKNOWLEDGED) return
+        unacknowledged.removeFirst()
+        acknowledgedCount++
     }
 
-    /** Takes the count of outcomes that the entry has received and returns the attempts that are new in it. */
-    fun received(count: Long): List<TaskReference> {
-        val fresh = ArrayList<TaskReference>()
-        while (received < count && sent.isNotEmpty()) {
-            sent.removeFirst()?.let { fresh += it }
-            received++
+    /** Takes the number of outcomes that the entry has received so far and returns the attempts newly acknowledged by it. */
+    fun acknowledge(count: Long): List<TaskReference> {
+        val acknowledged = ArrayList<TaskReference>()
+        while (acknowledgedCount < count && unacknowledged.isNotEmpty()) {
+            unacknowledged.removeFirst()?.let { acknowledged += it }
+            acknowledgedCount++
         }
-        return fresh
+        return acknowledged
     }
 
     private companion object {
-        const val SENT_KEPT = 16_384
+        const val MAX_UNACKNOWLEDGED = 16_384
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/EntryLink.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/EntryWebSocket.kt
@@ -18,72 +18,72 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-private val PING_PERIOD = 1.seconds
+private val PING_INTERVAL = 1.seconds
 
-/** Longer than the freeze of an entry that is worth waiting for, and shorter than what a caller would wait. */
-private val PING_PATIENCE = 3.seconds
+/** Long enough to ride out a short freeze of an entry, and shorter than callers are willing to wait. */
+private val PING_TIMEOUT = 3.seconds
 
 /**
- * One WebSocket connection to the entry at [address]. Frames that wait are merged into one.
+ * One WebSocket connection to the entry at [address]. Queued frames are merged into one.
  *
- * An entry that does not answer a ping has gone, even if its machine never closed the connection.
+ * An entry that does not answer a ping counts as disconnected, even if its machine never closed the connection.
  *
- * @param pingPeriod time between pings
- * @param pingPatience how long the answer may take
+ * @param pingInterval time between pings
+ * @param pingTimeout how long the answer to a ping may take
  */
-internal class EntryLink(
+internal class EntryWebSocket(
     val id: ConnectionId,
     private val address: Address,
     private val client: HttpClient,
     private val metrics: AgentMetrics,
-    private val pingPeriod: Duration = PING_PERIOD,
-    private val pingPatience: Duration = PING_PATIENCE,
+    private val pingInterval: Duration = PING_INTERVAL,
+    private val pingTimeout: Duration = PING_TIMEOUT,
 ) {
-    private val queue = Channel<AgentFrame>(Channel.UNLIMITED)
-    private val closed = Channel<Unit>(Channel.CONFLATED)
+    private val sendQueue = Channel<AgentFrame>(Channel.UNLIMITED)
+    private val closedSignal = Channel<Unit>(Channel.CONFLATED)
 
-    /** Queues [frame]. */
+    /** Queues [frame] for sending. */
     fun send(frame: AgentFrame) {
-        queue.trySend(frame)
+        sendQueue.trySend(frame)
     }
 
-    /** Sends what is queued, then closes the connection and returns once it is closed. */
-    suspend fun finish() {
-        queue.close()
-        closed.receiveCatching()
+    /** Sends the queued frames, closes the connection and returns once it is closed. */
+    suspend fun flushAndClose() {
+        sendQueue.close()
+        closedSignal.receiveCatching()
     }
 
-    /** Connects, reports the opening and each frame, and returns once the connection is closed; true if it was open. */
+    /** Connects, reports the opening and each frame, and returns once the connection is closed: true if it had been opened. */
     suspend fun run(
-        opened: suspend () -> Unit,
-        received: suspend (EntryFrame) -> Unit,
+        onOpened: suspend () -> Unit,
+        onFrame: suspend (EntryFrame) -> Unit,
     ): Boolean {
         var wasOpen = false
         try {
             client.webSocket("ws://$address/agents") {
                 wasOpen = true
-                pingIntervalMillis = pingPeriod.inWholeMilliseconds
-                timeoutMillis = pingPatience.inWholeMilliseconds
-                opened()
+                pingIntervalMillis = pingInterval.inWholeMilliseconds
+                timeoutMillis = pingTimeout.inWholeMilliseconds
+                onOpened()
                 val sender = launch { sendAll() }
-                for (frame in incoming) if (frame is Frame.Text) received(decode(frame))
+                for (frame in incoming) if (frame is Frame.Text) onFrame(decode(frame))
                 sender.cancel()
             }
         } catch (e: Exception) {
             currentCoroutineContext().ensureActive()
-            Logger.warn("link to entry $address: ${e.message ?: e.javaClass.simpleName}")
+            Logger.warn("connection to entry $address failed: ${e.message ?: e.javaClass.simpleName}")
         } finally {
-            closed.close()
+            closedSignal.close()
         }
         return wasOpen
     }
 
     private suspend fun DefaultClientWebSocketSession.sendAll() {
-        for (first in queue) {
+        for (first in sendQueue) {
             var frame = first
-            while (true) frame = frame.followedBy(queue.tryReceive().getOrNull() ?: break)
+            while (true) frame = frame.mergedWith(sendQueue.tryReceive().getOrNull() ?: break)
             val text = WireJson.encodeToString(AgentFrame.serializer(), frame)
-            metrics.frameSent(text.length)
+            metrics.countFrameSent(text.length)
             send(Frame.Text(text))
         }
         close()
@@ -91,7 +91,7 @@
 
     private fun decode(frame: Frame.Text): EntryFrame {
         val text = frame.readText()
-        metrics.frameReceived(text.length)
+        metrics.countFrameReceived(text.length)
         return WireJson.decodeFromString(EntryFrame.serializer(), text)
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/FrameMerge.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/FrameMerge.kt
@@ -3,8 +3,8 @@
 import io.bluebellramp.messages.AgentFrame
 import io.bluebellramp.messages.Credits
 
-/** Returns one frame that says what this frame and then [later] say. */
-internal fun AgentFrame.followedBy(later: AgentFrame): AgentFrame =
+/** Returns one frame with the content of this frame followed by that of [later]. */
+internal fun AgentFrame.mergedWith(later: AgentFrame): AgentFrame =
     AgentFrame(
         hello = hello ?: later.hello,
         target = later.target ?: target,
--- a/agent/src/main/kotlin/io/bluebellramp/agent/Outbox.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/Outbox.kt
@@ -2,17 +2,17 @@
 
 import io.bluebellramp.messages.AgentFrame
 
-/** Collects what one step decides, with one frame for each connection. Confined to the coroutine of the core. */
+/** Collects the actions of one step, merging the frames for each connection into one. Confined to the coroutine of the core. */
 internal class Outbox {
     private val frames = LinkedHashMap<ConnectionId, AgentFrame>()
     private val actions = ArrayList<AgentAction>()
 
-    /** Adds [frame] to what is sent on [connection]. */
+    /** Adds [frame] to the frame to send on [connection]. */
     fun send(
         connection: ConnectionId,
         frame: AgentFrame,
     ) {
-        frames.merge(connection, frame) { earlier, later -> earlier.followedBy(later) }
+        frames.merge(connection, frame) { earlier, later -> earlier.mergedWith(later) }
     }
 
     /** Adds an action that is not a frame. */
@@ -20,15 +20,15 @@
         actions += action
     }
 
-    /** Adds [count] outcomes that reach nobody. */
-    fun dropped(
+    /** Adds [count] outcomes that will not be delivered, for [reason]. */
+    fun addDropped(
         count: Int,
         reason: DropReason,
-    ) = repeat(count) { add(AgentAction.Dropped(reason)) }
+    ) = repeat(count) { add(AgentAction.CountDroppedOutcome(reason)) }
 
-    /** Returns everything collected and starts anew. */
+    /** Returns the collected actions and clears them. */
     fun drain(): List<AgentAction> {
-        val sends = frames.map { (connection, frame) -> AgentAction.Send(connection, frame) }
+        val sends = frames.map { (connection, frame) -> AgentAction.SendFrame(connection, frame) }
         val all = actions + sends
         frames.clear()
         actions.clear()
--- a/agent/src/main/kotlin/io/bluebellramp/agent/OutcomeStore.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/OutcomeStore.kt
@@ -7,17 +7,17 @@
 /** An outcome that its entry has not received yet. */
 internal class StoredOutcome(
     val outcome: TaskOutcome,
-    val owner: EntryRun,
-    val at: Duration,
+    val owner: EntryIncarnation,
+    val storedAt: Duration,
 ) {
-    /** The connection on which it was sent last, or null. */
+    /** The connection on which it was last sent, or null. */
     var sentOn: ConnectionId? = null
 
-    /** Memory that it is counted with (bytes). */
-    val bytes: Long get() = BASE_BYTES + (outcome.result?.length ?: 0) + (outcome.reason?.length ?: 0)
+    /** Estimated memory (bytes). */
+    val bytes: Long get() = OVERHEAD_BYTES + (outcome.result?.length ?: 0) + (outcome.reason?.length ?: 0)
 
     private companion object {
-        const val BASE_BYTES = 200L
+        const val OVERHEAD_BYTES = 200L
     }
 }
 
@@ -27,14 +27,14 @@
 ) {
     private val outcomes = LinkedHashMap<TaskReference, StoredOutcome>()
 
-    /** Memory of all outcomes, estimated (bytes). */
+    /** Estimated memory of all outcomes (bytes). */
     var bytes = 0L
         private set
 
-    /** Outcomes that are kept. */
+    /** Number of outcomes that are kept. */
     val size: Int get() = outcomes.size
 
-    /** Keeps [stored] and returns the older ones that had to go for it. */
+    /** Keeps [stored] and returns how many of the oldest outcomes were removed to stay within [AgentOptions.maxOutcomeBytes]. */
     fun add(
         reference: TaskReference,
         stored: StoredOutcome,
@@ -42,7 +42,7 @@
         outcomes[reference] = stored
         bytes += stored.bytes
         var dropped = 0
-        while (bytes > options.outcomeBytes && outcomes.size > 1) {
+        while (bytes > options.maxOutcomeBytes && outcomes.size > 1) {
             remove(outcomes.keys.first())
             dropped++
         }
@@ -52,24 +52,25 @@
     /** Returns the outcome of an attempt, or null. */
     fun get(reference: TaskReference): StoredOutcome? = outcomes[reference]
 
-    /** Forgets the outcome of an attempt. */
+    /** Removes the outcome of an attempt. */
     fun remove(reference: TaskReference) {
         val stored = outcomes.remove(reference) ?: return
         bytes -= stored.bytes
     }
 
-    /** Forgets the outcomes of earlier runs of the entry of [run] and tells how many. */
-    fun dropOtherRuns(run: EntryRun): Int = removeAll { it.owner.entry == run.entry && it.owner.incarnation != run.incarnation }
+    /** Removes the outcomes of other incarnations of the entry of [peer] and returns how many. */
+    fun removeOtherIncarnations(peer: EntryIncarnation): Int =
+        removeAll { it.owner.entry == peer.entry && it.owner.incarnation != peer.incarnation }
 
-    /** Forgets the outcomes that have waited too long and tells how many. */
-    fun expire(now: Duration): Int = removeAll { now - it.at >= options.outcomeLife }
+    /** Removes the outcomes that have waited for [AgentOptions.outcomeTtl] and returns how many. */
+    fun expire(now: Duration): Int = removeAll { now - it.storedAt >= options.outcomeTtl }
 
-    /** Whether an outcome for one of [runs] is kept. */
-    fun waitsFor(runs: Set<EntryRun>): Boolean = outcomes.values.any { it.owner in runs }
+    /** Whether an outcome for one of [owners] is kept. */
+    fun hasOutcomeFor(owners: Set<EntryIncarnation>): Boolean = outcomes.values.any { it.owner in owners }
 
     private fun removeAll(condition: (StoredOutcome) -> Boolean): Int {
-        val found = outcomes.filterValues(condition).keys
-        found.forEach(::remove)
-        return found.size
+        val matching = outcomes.filterValues(condition).keys
+        matching.forEach(::remove)
+        return matching.size
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/PermitHolder.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/PermitHolder.kt
@@ -9,113 +9,113 @@
 import kotlin.time.Duration.Companion.ZERO
 import kotlin.time.Duration.Companion.milliseconds
 
-/** Whether tasks may start now. */
-internal enum class PermitState { LIVE, OUT_OF_SERVICE, DEAD }
+/** Whether tasks may start now. Without any permit the state is [EXPIRED]. */
+internal enum class PermitState { VALID, OUT_OF_SERVICE, EXPIRED }
 
 /**
- * Holds the permit of the agent and asks for the next one. No I/O; confined to the coroutine of the core.
+ * Holds the agent's permit and requests its renewal. No I/O; confined to the coroutine of the core.
  *
- * The life of a permit counts from the moment its request was made, and a revision below the highest one seen is ignored.
+ * A permit is valid from the time of its request, not of its arrival. A permit with a lower revision than the highest seen is ignored.
  */
 internal class PermitHolder(
     private val clock: Clock,
     private val options: AgentOptions,
 ) {
-    private class Sent(
+    private class SentRequest(
         val sequence: Long,
         val connection: ConnectionId,
-        val at: Duration,
+        val sentAt: Duration,
     )
 
-    private val sent = ArrayDeque<Sent>()
+    private val sentRequests = ArrayDeque<SentRequest>()
     private var sequence = 0L
-    private var held: Permit? = null
-    private var preferred: ConnectionId? = null
-    private var answered = false
+    private var heldPermit: Permit? = null
+    private var preferredConnection: ConnectionId? = null
+    private var isLastRequestAnswered = false
 
-    /** End of the permit on the monotonic clock. */
-    var heldUntil = ZERO
+    /** Monotonic time at which the permit expires. */
+    var validUntil = ZERO
         private set
 
     /** The highest revision seen in a permit. */
     var revision = Revision.ZERO
         private set
 
-    /** Tasks that may run at once as of the last permit, alive or not. */
-    val slots: Int get() = held?.slots ?: 0
+    /** Tasks that may run at once according to the last permit, expired or not. */
+    val slots: Int get() = heldPermit?.slots ?: 0
 
-    /** Requests that may be served at once as of the last permit, alive or not. */
-    val connections: Int get() = held?.connections ?: 0
+    /** Requests that may be served at once according to the last permit, expired or not. */
+    val connections: Int get() = heldPermit?.connections ?: 0
 
-    /** Longest run time of one task as of the last permit. */
-    val taskTime: Duration? get() = held?.taskMillis?.milliseconds
+    /** Timeout of one task according to the last permit, or null before the first. */
+    val taskTimeout: Duration? get() = heldPermit?.taskMillis?.milliseconds
 
-    /** Live entries of the site as of the last permit. */
-    val entries: List<Address> get() = held?.entries.orEmpty()
+    /** Live entries of the site according to the last permit. */
+    val entries: List<Address> get() = heldPermit?.entries.orEmpty()
 
-    /** Time left of the permit, or zero. */
-    val left: Duration get() = if (held == null) ZERO else (heldUntil - clock.monotonic()).coerceAtLeast(ZERO)
+    /** Time until the permit expires, or zero. */
+    val timeLeft: Duration get() = if (heldPermit == null) ZERO else (validUntil - clock.monotonic()).coerceAtLeast(ZERO)
 
-    /** Reads the clock and tells whether tasks may start at this moment. */
+    /** Reads the clock and returns whether tasks may start now. */
     fun state(): PermitState {
-        val permit = held ?: return PermitState.DEAD
-        if (clock.monotonic() >= heldUntil) return PermitState.DEAD
-        return if (permit.inService) PermitState.LIVE else PermitState.OUT_OF_SERVICE
+        val permit = heldPermit ?: return PermitState.EXPIRED
+        if (clock.monotonic() >= validUntil) return PermitState.EXPIRED
+        return if (permit.inService) PermitState.VALID else PermitState.OUT_OF_SERVICE
     }
 
-    /** Returns the request that is due and the one of [open] to send it to, or null if none is due. */
-    fun request(open: List<ConnectionId>): AddressedPermitRequest? {
-        if (open.isEmpty()) return null
+    /** Returns the permit request that is due, addressed to one of [openConnections], or null if none is due. */
+    fun nextRequest(openConnections: List<ConnectionId>): AddressedPermitRequest? {
+        if (openConnections.isEmpty()) return null
         val now = clock.monotonic()
-        val last = sent.lastOrNull()
-        val due =
+        val last = sentRequests.lastOrNull()
+        val isDue =
             when {
-                last == null || last.connection !in open -> true
-                answered -> now - last.at >= period()
-                else -> now - last.at >= options.permitPatience
+                last == null || last.connection !in openConnections -> true
+                isLastRequestAnswered -> now - last.sentAt >= interval()
+                else -> now - last.sentAt >= options.permitTimeout
             }
-        if (!due) return null
-        val connection = choose(open, last)
-        answered = false
+        if (!isDue) return null
+        val connection = chooseConnection(openConnections, last)
+        isLastRequestAnswered = false
         sequence++
-        sent.addLast(Sent(sequence = sequence, connection = connection, at = now))
-        if (sent.size > REQUESTS_KEPT) sent.removeFirst()
+        sentRequests.addLast(SentRequest(sequence = sequence, connection = connection, sentAt = now))
+        if (sentRequests.size > MAX_SENT_REQUESTS) sentRequests.removeFirst()
         return AddressedPermitRequest(connection, PermitRequest(sequence, revision))
     }
 
-    /** Takes [permit] if it answers a request that was sent on [connection] and is not older than what was seen. */
+    /** Accepts [permit] and returns true if it answers a request sent on [connection] and is not older than one already accepted. */
     fun accept(
         connection: ConnectionId,
         permit: Permit,
     ): Boolean {
-        val request = sent.firstOrNull { it.sequence == permit.sequence && it.connection == connection } ?: return false
+        val request = sentRequests.firstOrNull { it.sequence == permit.sequence && it.connection == connection } ?: return false
         if (permit.revision < revision) return false
-        val current = held
+        val current = heldPermit
         if (current != null && permit.revision == current.revision && permit.sequence < current.sequence) return false
-        if (request === sent.last()) answered = true
-        preferred = connection
-        val until = request.at + permit.validMillis.milliseconds
-        val extends = current != null && current.revision == permit.revision && current.inService == permit.inService
-        heldUntil = if (extends) maxOf(heldUntil, until) else until
-        held = permit
+        if (request === sentRequests.last()) isLastRequestAnswered = true
+        preferredConnection = connection
+        val expiresAt = request.sentAt + permit.validMillis.milliseconds
+        val isRenewal = current != null && current.revision == permit.revision && current.inService == permit.inService
+        validUntil = if (isRenewal) maxOf(validUntil, expiresAt) else expiresAt
+        heldPermit = permit
         revision = permit.revision
         return true
     }
 
-    private fun period(): Duration = if (held?.inService == false) options.outPermitPeriod else options.permitPeriod
+    private fun interval(): Duration = if (heldPermit?.inService == false) options.outOfServicePermitInterval else options.permitInterval
 
-    private fun choose(
-        open: List<ConnectionId>,
-        last: Sent?,
+    private fun chooseConnection(
+        openConnections: List<ConnectionId>,
+        last: SentRequest?,
     ): ConnectionId {
-        val kept = preferred
-        if (answered && kept != null && kept in open) return kept
-        val place = open.indexOf(last?.connection)
-        return open[(place + 1) % open.size]
+        val preferred = preferredConnection
+        if (isLastRequestAnswered && preferred != null && preferred in openConnections) return preferred
+        val index = openConnections.indexOf(last?.connection)
+        return openConnections[(index + 1) % openConnections.size]
     }
 
     private companion object {
-        const val REQUESTS_KEPT = 64
+        const val MAX_SENT_REQUESTS = 64
     }
 }
 
--- a/agent/src/main/kotlin/io/bluebellramp/agent/Refusal.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/Refusal.kt
@@ -1,12 +1,12 @@
 package io.bluebellramp.agent
 
 /**
- * Why an attempt does not start.
+ * Why an attempt is refused.
  *
- * @property wording the reason in the outcome and the log
+ * @property reason the text of the reason in outcomes, logs and metrics
  */
 internal enum class Refusal(
-    val wording: String,
+    val reason: String,
 ) {
     INVALID_REFERENCE("invalid_reference"),
     OTHER_INCARNATION("other_incarnation"),
--- a/agent/src/main/kotlin/io/bluebellramp/agent/StartGate.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/StartGate.kt
@@ -1,14 +1,14 @@
 package io.bluebellramp.agent
 
-/** Tells whether anything may start. No I/O; confined to the coroutine of the core. */
+/** Checks the conditions that the start of any attempt requires. No I/O; confined to the coroutine of the core. */
 internal class StartGate(
     private val permits: PermitHolder,
     private val target: TargetPresence,
 ) {
-    /** Whether the process shuts down. It never goes back. */
+    /** Whether the process is shutting down. Once true, it stays true. */
     var isLeaving = false
 
-    /** Reads the clock and returns why nothing may start at this moment, or null. */
+    /** Reads the clock and returns why no attempt may start now, or null if attempts may start. */
     fun refusal(): Refusal? =
         when {
             isLeaving -> Refusal.LEAVING
@@ -18,8 +18,8 @@
 
     private fun permitRefusal(): Refusal? =
         when (permits.state()) {
-            PermitState.LIVE -> null
-            PermitState.DEAD -> Refusal.NO_PERMIT
+            PermitState.VALID -> null
+            PermitState.EXPIRED -> Refusal.NO_PERMIT
             PermitState.OUT_OF_SERVICE -> Refusal.OUT_OF_SERVICE
         }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/StartLedger.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/StartLedger.kt
@@ -5,9 +5,9 @@
 import io.bluebellramp.messages.TaskReference
 import java.util.UUID
 
-/** What the ledger knows of one attempt. */
+/** The state of one attempt according to the ledger. */
 internal enum class AttemptState {
-    /** It has not been seen, and may come yet. */
+    /** It has not been dispatched to this agent yet, but may still be. */
     UNSEEN,
 
     /** It was accepted and has not started. */
@@ -19,37 +19,37 @@
     /** It has not started and never will. */
     NOT_RUN,
 
-    /** A later attempt took its place. It may have started, and never will from now on. */
+    /** A later attempt has replaced it. It may have started earlier, but will not start any more. */
     UNKNOWN,
 }
 
 /**
- * Remembers which tasks were accepted, so that none starts twice. No I/O; confined to the coroutine of the core.
+ * Records which tasks were accepted, so that none starts twice. No I/O; confined to the coroutine of the core.
  *
- * For each task it keeps the highest attempt, the state of that attempt and whether an earlier one may have started.
- * An attempt that is not higher than the highest is never accepted. A task is forgotten once its submission can't start
- * any more, one [AgentOptions.submissionLife] after the time inside the id; that limit never goes back, also if the wall clock does.
+ * For each task it keeps the highest attempt, the state of that attempt and whether an earlier one may have started, packed into
+ * one number. An attempt that is not higher than the highest is never accepted. A task is removed once its submission may no longer
+ * start, one [AgentOptions.submissionTtl] after the time in the id. This limit never moves back, even if the wall clock does.
  */
 internal class StartLedger(
     private val clock: Clock,
     private val options: AgentOptions,
 ) {
-    private val tables = HashMap<Long, StartTable>()
-    private var horizonMillis = 0L
+    private val mapsByPeriod = HashMap<Long, TaskIntMap>()
+    private var oldestRetainedMillis = 0L
 
-    /** Tasks that the ledger remembers. */
-    val size: Int get() = tables.values.sumOf { it.size }
+    /** Number of tasks in the ledger. */
+    val size: Int get() = mapsByPeriod.values.sumOf { it.size }
 
-    /** Memory of the tables (bytes). */
-    val bytes: Long get() = tables.values.sumOf { it.bytes }
+    /** Memory of the maps (bytes). */
+    val bytes: Long get() = mapsByPeriod.values.sumOf { it.bytes }
 
-    /** Accepts the attempt and returns null, or tells why it must not start. */
+    /** Accepts the attempt and returns null, or returns why it must not start. */
     fun admit(
         reference: TaskReference,
         idempotent: Boolean,
     ): Refusal? {
         if (!isValid(reference)) return Refusal.INVALID_REFERENCE
-        if (!isInTime(reference.submission)) return Refusal.ID_OUT_OF_TIME
+        if (!isAcceptable(reference.submission)) return Refusal.ID_OUT_OF_TIME
         val record = record(reference)
         if (record != ABSENT) {
             if (reference.attempt == attempt(record)) return if (state(record) == NOT_RUN) Refusal.FENCED else Refusal.ALREADY_STARTED
@@ -60,27 +60,27 @@
         return null
     }
 
-    /** Notes that an accepted attempt starts now. */
-    fun start(reference: TaskReference) = settle(reference, STARTED)
+    /** Records that an accepted attempt starts now. */
+    fun start(reference: TaskReference) = updateState(reference, STARTED)
 
-    /** Makes sure that the attempt never starts. It has no effect on one that has started. */
+    /** Prevents the attempt from ever starting. It has no effect on one that has started. */
     fun fence(reference: TaskReference) {
-        if (!isValid(reference) || !isRemembered(reference.submission)) return
+        if (!isValid(reference) || !isRetained(reference.submission)) return
         val record = record(reference)
         when {
             record == ABSENT -> put(reference, NOT_RUN, earlierMayHaveStarted = false)
             reference.attempt > attempt(record) -> put(reference, NOT_RUN, mayHaveStarted(record))
-            reference.attempt == attempt(record) && state(record) == QUEUED -> settle(reference, NOT_RUN)
+            reference.attempt == attempt(record) && state(record) == QUEUED -> updateState(reference, NOT_RUN)
         }
     }
 
-    /** Notes that an attempt which was to start is proved not to have reached the target. */
-    fun revoke(reference: TaskReference) = settle(reference, NOT_RUN)
+    /** Records that an attempt recorded as started provably did not reach the target. */
+    fun revoke(reference: TaskReference) = updateState(reference, NOT_RUN)
 
-    /** Returns what is known of the attempt. */
+    /** Returns the state of the attempt. */
     fun state(reference: TaskReference): AttemptState {
         if (!isValid(reference)) return AttemptState.NOT_RUN
-        if (millis(reference.submission) < horizon()) return AttemptState.UNKNOWN
+        if (millis(reference.submission) < oldestRetained()) return AttemptState.UNKNOWN
         val record = record(reference)
         return when {
             record == ABSENT || reference.attempt > attempt(record) -> AttemptState.UNSEEN
@@ -91,20 +91,20 @@
         }
     }
 
-    /** Forgets the tasks of submissions that can't start any more. */
+    /** Removes the tasks of submissions that may no longer start. */
     fun expire() {
-        val lowest = horizon() / TABLE_MILLIS
-        tables.keys.removeIf { it < lowest }
+        val oldestPeriod = oldestRetained() / MAP_PERIOD_MILLIS
+        mapsByPeriod.keys.removeIf { it < oldestPeriod }
     }
 
-    private fun settle(
+    private fun updateState(
         reference: TaskReference,
         state: Int,
     ) {
         val record = record(reference)
         if (record == ABSENT) return
         if (attempt(record) == reference.attempt) return put(reference, state, earlierMayHaveStarted(record))
-        if (state == STARTED) write(reference, record or EARLIER_BIT)
+        if (state == STARTED) write(reference, record or EARLIER_MAY_HAVE_STARTED_BIT)
     }
 
     private fun put(
@@ -112,33 +112,33 @@
         state: Int,
         earlierMayHaveStarted: Boolean,
     ) {
-        val earlier = if (earlierMayHaveStarted) EARLIER_BIT else 0
-        write(reference, (reference.attempt shl ATTEMPT_SHIFT) or earlier or state)
+        val earlierBit = if (earlierMayHaveStarted) EARLIER_MAY_HAVE_STARTED_BIT else 0
+        write(reference, (reference.attempt shl ATTEMPT_SHIFT) or earlierBit or state)
     }
 
     private fun write(
         reference: TaskReference,
         record: Int,
-    ) = tables.getOrPut(table(reference.submission)) { StartTable() }.put(key(reference), record)
+    ) = mapsByPeriod.getOrPut(period(reference.submission)) { TaskIntMap() }.put(key(reference), record)
 
-    private fun record(reference: TaskReference): Int = tables[table(reference.submission)]?.get(key(reference)) ?: ABSENT
+    private fun record(reference: TaskReference): Int = mapsByPeriod[period(reference.submission)]?.get(key(reference)) ?: ABSENT
 
     private fun isValid(reference: TaskReference) =
         SubmissionId.parse(reference.submission.value) != null && reference.task >= 0 && reference.attempt in 0..MAX_ATTEMPT
 
-    private fun isInTime(submission: SubmissionId): Boolean {
-        val latest = clock.wall().toEpochMilli() + options.clockSkew.inWholeMilliseconds
-        return millis(submission) in horizon()..latest
+    private fun isAcceptable(submission: SubmissionId): Boolean {
+        val latestMillis = clock.wall().toEpochMilli() + options.maxClockSkew.inWholeMilliseconds
+        return millis(submission) in oldestRetained()..latestMillis
     }
 
-    private fun isRemembered(submission: SubmissionId): Boolean {
-        val latest = clock.wall().toEpochMilli() + options.submissionLife.inWholeMilliseconds
-        return millis(submission) in horizon()..latest
+    private fun isRetained(submission: SubmissionId): Boolean {
+        val latestMillis = clock.wall().toEpochMilli() + options.submissionTtl.inWholeMilliseconds
+        return millis(submission) in oldestRetained()..latestMillis
     }
 
-    private fun horizon(): Long {
-        horizonMillis = maxOf(horizonMillis, clock.wall().toEpochMilli() - options.submissionLife.inWholeMilliseconds)
-        return horizonMillis
+    private fun oldestRetained(): Long {
+        oldestRetainedMillis = maxOf(oldestRetainedMillis, clock.wall().toEpochMilli() - options.submissionTtl.inWholeMilliseconds)
+        return oldestRetainedMillis
     }
 
     private fun key(reference: TaskReference): TaskKey {
@@ -148,24 +148,25 @@
 
     private fun millis(submission: SubmissionId) = submission.instant.toEpochMilli()
 
-    private fun table(submission: SubmissionId) = millis(submission) / TABLE_MILLIS
+    private fun period(submission: SubmissionId) = millis(submission) / MAP_PERIOD_MILLIS
 
     private fun attempt(record: Int) = record ushr ATTEMPT_SHIFT
 
     private fun state(record: Int) = record and STATE_MASK
 
-    private fun earlierMayHaveStarted(record: Int) = record and EARLIER_BIT != 0
+    private fun earlierMayHaveStarted(record: Int) = record and EARLIER_MAY_HAVE_STARTED_BIT != 0
 
     private fun mayHaveStarted(record: Int) = earlierMayHaveStarted(record) || state(record) != NOT_RUN
 
     private companion object {
-        const val TABLE_MILLIS = 60_000L
+        /** Period of submission times that share one map, and so are removed together. */
+        const val MAP_PERIOD_MILLIS = 60_000L
         const val ABSENT = 0
         const val QUEUED = 1
         const val STARTED = 2
         const val NOT_RUN = 3
         const val STATE_MASK = 3
-        const val EARLIER_BIT = 4
+        const val EARLIER_MAY_HAVE_STARTED_BIT = 4
         const val ATTEMPT_SHIFT = 3
         const val MAX_ATTEMPT = 1_000_000
     }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/TargetLink.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/TargetClient.kt
@@ -20,29 +20,29 @@
 import java.net.ConnectException
 
 /**
- * Calls the target, each call once.
+ * Calls the target over HTTP, without retries.
  *
- * It keeps connections for less time than a target does, so that a call seldom meets one that the target has just closed; such a
- * call may have been read, so its outcome is unknown.
+ * Idle connections are kept for less time than a target keeps them, so that a call rarely uses one that the target has just closed:
+ * the target may have read such a call, so its outcome is unknown.
  */
-internal class TargetLink(
+internal class TargetClient(
     private val clock: Clock,
 ) : AutoCloseable {
-    private val client = client()
+    private val httpClient = createHttpClient()
 
-    /** Makes the call of [start] and returns what came of it. */
-    suspend fun call(start: AgentAction.Start): AgentInput.CallEnded {
-        val call = start.call
+    /** Makes the call of [action] and returns its result. */
+    suspend fun call(action: AgentAction.CallTarget): AgentInput.CallEnded {
+        val call = action.call
         val began = clock.monotonic()
-        val result = if (began >= start.before) CallResult.NotSent("permit_ran_out") else bounded(start)
-        return AgentInput.CallEnded(TaskReference(call.submission, call.task, call.attempt), result, ran = clock.monotonic() - began)
+        val result = if (began >= action.sendDeadline) CallResult.NotSent("permit_ran_out") else callWithTimeout(action)
+        return AgentInput.CallEnded(TaskReference(call.submission, call.task, call.attempt), result, duration = clock.monotonic() - began)
     }
 
-    override fun close() = client.close()
+    override fun close() = httpClient.close()
 
-    private suspend fun bounded(start: AgentAction.Start): CallResult =
+    private suspend fun callWithTimeout(action: AgentAction.CallTarget): CallResult =
         try {
-            withTimeoutOrNull(start.timeout) { post(start) } ?: CallResult.Unknown("timeout")
+            withTimeoutOrNull(action.timeout) { postCall(action) } ?: CallResult.Unknown("timeout")
         } catch (_: ConnectException) {
             CallResult.NotSent("connection_refused")
         } catch (e: Exception) {
@@ -50,21 +50,21 @@
             CallResult.Unknown("connection_lost: ${e.message ?: e.javaClass.simpleName}")
         }
 
-    private suspend fun post(start: AgentAction.Start): CallResult {
+    private suspend fun postCall(action: AgentAction.CallTarget): CallResult {
         val response =
-            client.post("http://${start.address}/run") {
+            httpClient.post("http://${action.address}/run") {
                 contentType(ContentType.Application.Json)
-                setBody(start.call)
+                setBody(action.call)
             }
-        return read(response, start.call)
+        return readResult(response, action.call)
     }
 
-    private suspend fun read(
+    private suspend fun readResult(
         response: HttpResponse,
         call: TargetCall,
     ): CallResult {
         val text = response.bodyAsText()
-        if (response.status != HttpStatusCode.OK) return CallResult.Failed("status ${response.status.value}: ${text.take(REASON_LENGTH)}")
+        if (response.status != HttpStatusCode.OK) return CallResult.Failed("status ${response.status.value}: ${text.take(REASON_CHARS)}")
         val answer =
             try {
                 WireJson.decodeFromString<TargetAnswer>(text)
@@ -72,16 +72,16 @@
                 return CallResult.Unknown("unreadable_answer")
             }
         val matches = answer.submission == call.submission && answer.task == call.task && answer.attempt == call.attempt
-        return if (matches) CallResult.Done(answer.result) else CallResult.Unknown(CROSSED)
+        return if (matches) CallResult.Done(answer.result) else CallResult.Unknown(MISMATCHED_ANSWER)
     }
 
     companion object {
-        /** The reason of an outcome whose answer carried the ids of another call. */
-        const val CROSSED = "crossed_answer"
-        private const val REASON_LENGTH = 200
+        /** The reason of an unknown outcome if the answer carried the ids of another call. */
+        const val MISMATCHED_ANSWER = "crossed_answer"
+        private const val REASON_CHARS = 200
         private const val KEEP_ALIVE_SECONDS = 5
 
-        private fun client() =
+        private fun createHttpClient() =
             run {
                 System.setProperty("jdk.httpclient.keepalive.timeout", KEEP_ALIVE_SECONDS.toString())
                 httpLink()
--- a/agent/src/main/kotlin/io/bluebellramp/agent/TargetPresence.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/TargetPresence.kt
@@ -5,33 +5,33 @@
 import io.bluebellramp.messages.TargetState
 import kotlin.time.Duration
 
-/** Knows whether the target is there. No I/O; confined to the coroutine of the core. */
+/** Tracks whether the target is present. No I/O; confined to the coroutine of the core. */
 internal class TargetPresence(
     private val clock: Clock,
     private val options: AgentOptions,
 ) {
     private var announcedAt = Duration.ZERO
-    private var left = false
+    private var hasLeft = false
 
     /** The last announcement, or null before the first. */
     var announcement: TargetAnnouncement? = null
         private set
 
-    /** Whether the target is there at this moment. */
-    val isPresent: Boolean get() = announcement != null && !left && clock.monotonic() - announcedAt < options.announcementLife
+    /** Whether the target is present now. */
+    val isPresent: Boolean get() = announcement != null && !hasLeft && clock.monotonic() - announcedAt < options.announcementTtl
 
-    /** What the entries should know, or null before the first announcement. */
+    /** The state of the target to report to the entries, or null before the first announcement. */
     val state: TargetState? get() = announcement?.let { TargetState(it.target, it.service, isPresent) }
 
-    /** Takes an announcement. */
-    fun announced(announcement: TargetAnnouncement) {
+    /** Handles an announcement of the target. */
+    fun onAnnounced(announcement: TargetAnnouncement) {
         this.announcement = announcement
         announcedAt = clock.monotonic()
-        left = false
+        hasLeft = false
     }
 
-    /** Takes the word of the target that it leaves. */
-    fun left() {
-        left = true
+    /** Handles the report of the target that it is leaving. */
+    fun onLeft() {
+        hasLeft = true
     }
 }
--- a/agent/src/main/kotlin/io/bluebellramp/agent/StartTable.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/TaskIntMap.kt
@@ -1,34 +1,34 @@
 package io.bluebellramp.agent
 
 /**
- * A hash table from a task of a submission to one number, in flat arrays of [SLOT_BYTES] bytes a slot.
+ * An open-addressing hash map from a task to an `Int`, in flat arrays that take [SLOT_BYTES] bytes per slot.
  *
- * It has no removal: the ledger drops whole tables. The number 0 stands for "absent".
+ * Entries cannot be removed: the ledger drops whole maps. The value 0 means that the task is absent.
  */
-internal class StartTable {
-    private var high = LongArray(FIRST_CAPACITY)
-    private var low = LongArray(FIRST_CAPACITY)
-    private var tasks = IntArray(FIRST_CAPACITY)
-    private var values = IntArray(FIRST_CAPACITY)
+internal class TaskIntMap {
+    private var high = LongArray(INITIAL_CAPACITY)
+    private var low = LongArray(INITIAL_CAPACITY)
+    private var tasks = IntArray(INITIAL_CAPACITY)
+    private var values = IntArray(INITIAL_CAPACITY)
 
-    /** Tasks in the table. */
+    /** Number of tasks in the map. */
     var size = 0
         private set
 
     /** Memory of the arrays (bytes). */
     val bytes: Long get() = values.size.toLong() * SLOT_BYTES
 
-    /** Returns the number of the task, or 0. */
+    /** Returns the value of the task, or 0 if it is absent. */
     fun get(key: TaskKey): Int = values[slot(key)]
 
-    /** Sets the number of the task, which must not be 0. */
+    /** Sets the value of the task, which must not be 0. */
     fun put(
         key: TaskKey,
         value: Int,
     ) {
         var slot = slot(key)
         if (values[slot] == 0) {
-            if ((size + 1) * LOAD_PARTS > values.size * LOAD_FILLED) {
+            if ((size + 1) * LOAD_FACTOR_DENOMINATOR > values.size * LOAD_FACTOR_NUMERATOR) {
                 grow()
                 slot = slot(key)
             }
@@ -43,22 +43,22 @@
     private fun slot(key: TaskKey): Int {
         val mask = values.size - 1
         var slot = hash(key) and mask
-        while (values[slot] != 0 && !holds(slot, key)) slot = (slot + 1) and mask
+        while (values[slot] != 0 && !matches(slot, key)) slot = (slot + 1) and mask
         return slot
     }
 
-    private fun holds(
+    private fun matches(
         slot: Int,
         key: TaskKey,
     ) = low[slot] == key.low && tasks[slot] == key.task && high[slot] == key.high
 
     private fun hash(key: TaskKey): Int {
-        val mixed = (key.low xor (key.high * HASH_FACTOR) xor key.task.toLong()) * HASH_FACTOR
+        val mixed = (key.low xor (key.high * HASH_MULTIPLIER) xor key.task.toLong()) * HASH_MULTIPLIER
         return (mixed ushr Int.SIZE_BITS).toInt()
     }
 
     private fun grow() {
-        val old = StartTableArrays(high, low, tasks, values)
+        val old = OldArrays(high, low, tasks, values)
         val capacity = values.size * 2
         high = LongArray(capacity)
         low = LongArray(capacity)
@@ -74,7 +74,7 @@
         }
     }
 
-    private class StartTableArrays(
+    private class OldArrays(
         val high: LongArray,
         val low: LongArray,
         val tasks: IntArray,
@@ -84,14 +84,16 @@
     companion object {
         /** Memory of one slot (bytes). */
         const val SLOT_BYTES = 24
-        private const val FIRST_CAPACITY = 16
-        private const val LOAD_FILLED = 3
-        private const val LOAD_PARTS = 4
-        private const val HASH_FACTOR = -7046029254386353131L
+        private const val INITIAL_CAPACITY = 16
+        private const val LOAD_FACTOR_NUMERATOR = 3
+        private const val LOAD_FACTOR_DENOMINATOR = 4
+
+        /** 2^64 divided by the golden ratio, for Fibonacci hashing. */
+        private const val HASH_MULTIPLIER = -7046029254386353131L
     }
 }
 
-/** One task of one submission, as the two halves of the id of the submission and the index of the task. */
+/** A task of a submission: the two halves of the submission id and the index of the task. */
 internal data class TaskKey(
     val high: Long,
     val low: Long,
--- a/agent/src/test/kotlin/io/bluebellramp/agent/CoreHarness.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentCoreHarness.kt
@@ -26,8 +26,8 @@
 import io.bluebellramp.placement.DemandGrantPolicy
 import kotlin.time.Duration
 
-/** Drives an [AgentCore] by hand and keeps what it did. */
-internal class CoreHarness(
+/** Feeds events to an [AgentCore] and records the actions that it returns. */
+internal class AgentCoreHarness(
     private val slots: Int = 2,
     private val connections: Int = 6,
 ) {
@@ -54,20 +54,20 @@
     fun step(input: AgentInput) =
         core.step(input).forEach {
             when (it) {
-                is AgentAction.Send -> frames += it.connection.value to it.frame
-                is AgentAction.Start -> starts += TaskReference(it.call.submission, it.call.task, it.call.attempt)
-                is AgentAction.Dropped -> dropped += it.reason
-                is AgentAction.Decided -> Unit
+                is AgentAction.SendFrame -> frames += it.connection.value to it.frame
+                is AgentAction.CallTarget -> starts += TaskReference(it.call.submission, it.call.task, it.call.attempt)
+                is AgentAction.CountDroppedOutcome -> dropped += it.reason
+                is AgentAction.RecordDecision -> Unit
             }
         }
 
     fun connect(
         connection: Long,
         entry: String = "e1",
-        run: String = "run1",
+        entryIncarnation: String = "run1",
     ) {
         step(AgentInput.ConnectionOpened(ConnectionId(connection)))
-        receive(connection, EntryFrame(hello = EntryHello(EntryId(entry), IncarnationId(run))))
+        receive(connection, EntryFrame(hello = EntryHello(EntryId(entry), IncarnationId(entryIncarnation))))
     }
 
     fun close(connection: Long) = step(AgentInput.ConnectionClosed(ConnectionId(connection)))
@@ -78,7 +78,7 @@
     ) = step(AgentInput.FrameReceived(ConnectionId(connection), frame))
 
     /** Answers the last permit request. */
-    fun permit(
+    fun grantPermit(
         revision: Long = 1,
         inService: Boolean = true,
         validMillis: Long = 2000,
@@ -93,7 +93,7 @@
         )
     }
 
-    fun demand(
+    fun reportDemand(
         connection: Long,
         tasks: Int,
     ) = receive(connection, EntryFrame(demand = Demand(tasks, tasks)))
@@ -103,16 +103,16 @@
         kind: DispatchKind = DispatchKind.TASK,
     ): TaskReference {
         val reference = TaskReference(SubmissionId.create(clock.wall(), high = 0, low = ++submissions), task = 0, attempt = 0)
-        receive(connection, EntryFrame(dispatches = listOf(dispatch(reference, kind))))
+        receive(connection, EntryFrame(dispatches = listOf(createDispatch(reference, kind))))
         return reference
     }
 
-    fun dispatch(
+    fun createDispatch(
         reference: TaskReference,
         kind: DispatchKind = DispatchKind.TASK,
     ) = Dispatch(reference.submission, reference.task, reference.attempt, incarnation, kind, "p", remainingMillis = 10_000)
 
-    fun finish(reference: TaskReference) = step(AgentInput.CallEnded(reference, CallResult.Done("done"), Duration.ZERO))
+    fun finishCall(reference: TaskReference) = step(AgentInput.CallEnded(reference, CallResult.Done("done"), Duration.ZERO))
 
     fun advance(time: Duration) {
         clock.now += time
@@ -123,16 +123,16 @@
         connection: Long,
         reference: TaskReference,
     ): List<TaskOutcome> =
-        sent(connection).flatMap { it.outcomes }.filter { TaskReference(it.submission, it.task, it.attempt) == reference }
+        framesSentOn(connection).flatMap { it.outcomes }.filter { TaskReference(it.submission, it.task, it.attempt) == reference }
 
-    fun granted(connection: Long): Credits = sum(sent(connection).mapNotNull { it.credits })
+    fun grantedCredits(connection: Long): Credits = sum(framesSentOn(connection).mapNotNull { it.credits })
 
-    fun recalled(connection: Long): Credits = sum(sent(connection).mapNotNull { it.recalled })
+    fun recalledCredits(connection: Long): Credits = sum(framesSentOn(connection).mapNotNull { it.recalled })
 
     fun lastPermitRequest(): Pair<Long, PermitRequest>? =
         frames.lastOrNull { it.second.permitRequest != null }?.let { it.first to checkNotNull(it.second.permitRequest) }
 
-    fun sent(connection: Long) = frames.filter { it.first == connection }.map { it.second }
+    fun framesSentOn(connection: Long) = frames.filter { it.first == connection }.map { it.second }
 
     private fun sum(credits: List<Credits>) = Credits(credits.sumOf { it.slots }, credits.sumOf { it.connections })
 }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/StartHistory.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentInvariantChecker.kt
@@ -11,23 +11,23 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.minutes
 
-/** Records what an agent did across its incarnations and what it was allowed to do. Every breach becomes a line in [breaches]. */
-internal class StartHistory {
-    private class Granted(
+/** Checks what an agent does, across its incarnations, against what it is allowed to do. Each breach is a line in [violations]. */
+internal class AgentInvariantChecker {
+    private class ReceivedPermit(
         val permit: Permit,
-        val until: Duration,
+        val expiresAt: Duration,
     )
 
-    private val started = HashSet<TaskReference>()
-    private val notRun = HashSet<TaskReference>()
+    private val startedAttempts = HashSet<TaskReference>()
+    private val notRunAttempts = HashSet<TaskReference>()
     private val idempotent = HashSet<Pair<String, Int>>()
-    private val permits = ArrayList<Granted>()
+    private val permits = ArrayList<ReceivedPermit>()
     private val running = HashMap<TaskReference, DispatchKind>()
-    val breaches = ArrayList<String>()
+    val violations = ArrayList<String>()
     var starts = 0
         private set
 
-    fun created(
+    fun taskCreated(
         submission: String,
         task: Int,
         isIdempotent: Boolean,
@@ -35,22 +35,22 @@
         if (isIdempotent) idempotent += submission to task
     }
 
-    /** A permit reached the agent; the request was made at [requested]. */
-    fun permitted(
+    /** Records a permit that reached the agent, whose request was made at [requestedAt]. */
+    fun permitReceived(
         permit: Permit,
-        requested: Duration,
+        requestedAt: Duration,
     ) {
-        permits += Granted(permit, requested + permit.validMillis.milliseconds)
+        permits += ReceivedPermit(permit, requestedAt + permit.validMillis.milliseconds)
     }
 
-    /** A new run of the agent: its permits and slots are its own. */
-    fun restarted() {
+    /** Records a restart of the agent, which starts without permits and running tasks. */
+    fun agentRestarted() {
         permits.clear()
         running.clear()
     }
 
-    fun started(
-        action: AgentAction.Start,
+    fun taskStarted(
+        action: AgentAction.CallTarget,
         now: Duration,
         hasTarget: Boolean,
     ) {
@@ -58,51 +58,51 @@
         val call = action.call
         val reference = TaskReference(call.submission, call.task, call.attempt)
         val highest = permits.maxOfOrNull { it.permit.revision } ?: Revision.ZERO
-        val live = permits.filter { it.permit.revision == highest && it.permit.inService && now < it.until }
-        if (live.isEmpty()) breach(now, "start without a live permit in service", reference)
-        if (!hasTarget) breach(now, "start without a target", reference)
-        if (reference in started) breach(now, "attempt started twice", reference)
-        val repeated = started.any { it.submission == reference.submission && it.task == reference.task }
-        if (repeated && (reference.submission.value to reference.task) !in idempotent) breach(now, "task started twice", reference)
-        if (reference in notRun) breach(now, "start after not_run", reference)
+        val valid = permits.filter { it.permit.revision == highest && it.permit.inService && now < it.expiresAt }
+        if (valid.isEmpty()) addViolation(now, "start without a valid permit in service", reference)
+        if (!hasTarget) addViolation(now, "start without a target", reference)
+        if (reference in startedAttempts) addViolation(now, "attempt started twice", reference)
+        val repeated = startedAttempts.any { it.submission == reference.submission && it.task == reference.task }
+        if (repeated && (reference.submission.value to reference.task) !in idempotent) addViolation(now, "task started twice", reference)
+        if (reference in notRunAttempts) addViolation(now, "start after not_run", reference)
         val age = (ManualClock().wall().toEpochMilli() - call.submission.instant.toEpochMilli()).milliseconds + now
-        if (age > 10.minutes || age < -(1.minutes)) breach(now, "start of an id out of time", reference)
-        started += reference
+        if (age > 10.minutes || age < -(1.minutes)) addViolation(now, "start outside the time window of the id", reference)
+        startedAttempts += reference
         running[reference] = call.kind
         val limit = permits.lastOrNull { it.permit.revision == highest }?.permit
         if (count(DispatchKind.TASK) > (limit?.slots ?: 0) &&
             call.kind == DispatchKind.TASK
         ) {
-            breach(now, "more tasks than slots", reference)
+            addViolation(now, "more tasks than slots", reference)
         }
         if (count(DispatchKind.REQUEST) > (limit?.connections ?: 0) && call.kind == DispatchKind.REQUEST) {
-            breach(now, "more requests than connections", reference)
+            addViolation(now, "more requests than connections", reference)
         }
     }
 
-    fun ended(reference: TaskReference) {
+    fun callEnded(reference: TaskReference) {
         running.remove(reference)
     }
 
-    fun said(
+    fun outcomeReported(
         outcome: TaskOutcome,
         agent: IncarnationId,
         now: Duration,
     ) {
         val reference = TaskReference(outcome.submission, outcome.task, outcome.attempt)
         if (outcome.status == TaskStatus.NOT_RUN) {
-            if (reference in started) breach(now, "not_run after a start by $agent", reference)
-            notRun += reference
+            if (reference in startedAttempts) addViolation(now, "not_run after a start by $agent", reference)
+            notRunAttempts += reference
         }
-        if (outcome.status == TaskStatus.DONE && outcome.result != reference.toString()) breach(now, "crossed result", reference)
+        if (outcome.status == TaskStatus.DONE && outcome.result != reference.toString()) addViolation(now, "mismatched result", reference)
     }
 
-    fun breach(
+    fun addViolation(
         now: Duration,
-        what: String,
+        rule: String,
         subject: Any,
     ) {
-        breaches += "$now: $what: $subject"
+        violations += "$now: $rule: $subject"
     }
 
     private fun count(kind: DispatchKind) = running.values.count { it == kind }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/AgentProgramTest.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentProgramTest.kt
@@ -31,24 +31,24 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-private const val HANG_SECONDS = 60L
+private const val TEST_TIMEOUT_SECONDS = 60L
 
-@Timeout(HANG_SECONDS)
+@Timeout(TEST_TIMEOUT_SECONDS)
 class AgentProgramTest {
     @Nested
     inner class `an agent between an entry and a target` {
         private val entry = FakeEntry()
         private val targetAddress = freeAddress()
         private val agentAddress = freeAddress()
-        private val release = CompletableDeferred<Unit>()
-        private val held = CompletableDeferred<Unit>()
+        private val releaseHeldTask = CompletableDeferred<Unit>()
+        private val heldTaskStarted = CompletableDeferred<Unit>()
         private val target =
-            httpServer(targetAddress, Ready, PrometheusRegistry()) {
+            httpServer(targetAddress, AlwaysReady, PrometheusRegistry()) {
                 post("/run") {
                     val request = call.receive<TargetCall>()
                     if (request.payload == "held") {
-                        held.complete(Unit)
-                        release.await()
+                        heldTaskStarted.complete(Unit)
+                        releaseHeldTask.await()
                     }
                     call.respond(TargetAnswer(request.submission, request.task, request.attempt, request.payload))
                 }
@@ -89,41 +89,41 @@
         fun `runs each task and reports what the target answered`() =
             runBlocking {
                 val payloads = (1..20).map { "payload-$it" }
-                offer(payloads)
+                enqueue(payloads)
                 val outcomes = List(payloads.size) { entry.outcomes.receive() }
                 assertEquals(setOf(TaskStatus.DONE), outcomes.map { it.status }.toSet())
                 assertEquals(payloads.toSet(), outcomes.map { it.result }.toSet())
             }
 
         @Test
-        fun `runs a task for which a credit was granted long before`() =
+        fun `runs a task on a credit that was granted before the task arrived`() =
             runBlocking {
-                entry.granted.receive()
-                offer(listOf("late"))
+                entry.creditsReceived.receive()
+                enqueue(listOf("late"))
                 assertEquals("late", entry.outcomes.receive().result)
             }
 
         @Test
-        fun `carries a large payload whole`() =
+        fun `transfers a large payload completely`() =
             runBlocking {
                 val payload = "x".repeat(2_000_000)
-                offer(listOf(payload))
+                enqueue(listOf(payload))
                 assertEquals(payload, entry.outcomes.receive().result)
             }
 
         @Test
-        fun `finishes a running task before it leaves`() =
+        fun `finishes a running task before it stops`() =
             runBlocking {
-                offer(listOf("held"))
-                held.await()
+                enqueue(listOf("held"))
+                heldTaskStarted.await()
                 val stopped = async(Dispatchers.IO) { agent.stop() }
                 entry.leaving.receive()
-                release.complete(Unit)
+                releaseHeldTask.complete(Unit)
                 assertEquals(TaskStatus.DONE, entry.outcomes.receive().status)
                 stopped.await()
             }
 
-        private fun offer(payloads: List<String>) {
+        private fun enqueue(payloads: List<String>) {
             synchronized(entry.payloads) { entry.payloads += payloads }
         }
     }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/AgentSimulation.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentSimulation.kt
@@ -25,55 +25,55 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-/** Runs an agent between simulated entries and a simulated target, first with faults and then without, from one seed. */
+/** Runs an agent between simulated entries and a simulated target from one seed, first with faults and then without. */
 internal class AgentSimulation(
     seed: Long,
 ) {
-    private class Link(
+    private class SimulatedConnection(
         val id: ConnectionId,
         val entry: SimulatedEntry,
-        val agentRun: Int,
+        val agentEpoch: Int,
     ) {
         var isOpen = true
-        var toAgentAt = Duration.ZERO
-        var toEntryAt = Duration.ZERO
+        var lastArrivalAtAgent = Duration.ZERO
+        var lastArrivalAtEntry = Duration.ZERO
     }
 
     private val random = Random(seed)
-    private val clock = ManualClock(onRead = { if (chaos && inStep && random.nextInt(4000) == 0) now += 3.seconds })
-    private val loop = EventLoop(clock)
+    private val clock = ManualClock(onRead = { if (faultsEnabled && inStep && random.nextInt(4000) == 0) now += 3.seconds })
+    private val loop = SimulatedEventLoop(clock)
     private val entries = List(3) { SimulatedEntry("e$it", random).also(SimulatedEntry::restart) }
-    private val links = LinkedHashMap<SimulatedEntry, Link>()
-    private val sent = ArrayList<Dispatch>()
-    private val requested = HashMap<Long, Duration>()
+    private val connections = LinkedHashMap<SimulatedEntry, SimulatedConnection>()
+    private val sentDispatches = ArrayList<Dispatch>()
+    private val permitRequestedAt = HashMap<Long, Duration>()
     private val announcement = TargetAnnouncement(TargetId("t1"), ServiceId("render"), Address("127.0.0.1:1"))
     private var announcedAt: Duration? = null
-    private var targetUp = true
-    private var chaos = true
+    private var targetIsUp = true
+    private var faultsEnabled = true
     private var inStep = false
     private var connectionIds = 0L
-    private var agentRun = 0
+    private var agentEpoch = 0
     private var frozenUntil = Duration.ZERO
     private var revision = 1L
     private var incarnation = IncarnationId("a.0")
     private lateinit var core: AgentCore
-    val history = StartHistory()
+    val checker = AgentInvariantChecker()
 
-    fun run(): StartHistory {
+    fun run(): AgentInvariantChecker {
         restartAgent()
-        loop.every(20.milliseconds) { entries.forEach { work(it) } }
+        loop.every(20.milliseconds) { entries.forEach { runEntry(it) } }
         loop.every(50.milliseconds) { step(AgentInput.Tick) }
         loop.every(300.milliseconds) { announce() }
-        loop.every(120.milliseconds) { if (chaos) fault() }
-        loop.every(60.milliseconds) { if (chaos) entries.forEach { arrive(it) } }
-        loop.runUntil(CHAOS)
-        calm()
-        loop.runUntil(clock.now + CALM)
-        checkEnd()
-        return history
+        loop.every(120.milliseconds) { if (faultsEnabled) injectFault() }
+        loop.every(60.milliseconds) { if (faultsEnabled) entries.forEach { submitTasks(it) } }
+        loop.runUntil(FAULT_PHASE)
+        stopFaults()
+        loop.runUntil(clock.now + RECOVERY_PHASE)
+        checkFinalState()
+        return checker
     }
 
-    private fun fault() {
+    private fun injectFault() {
         when (random.nextInt(60)) {
             0 -> {
                 restartAgent()
@@ -81,7 +81,7 @@
 
             1 -> {
                 entries.random(random).let { entry ->
-                    links[entry]?.let { close(it) }
+                    connections[entry]?.let { closeConnection(it) }
                     entry.restart()
                 }
             }
@@ -91,7 +91,7 @@
             }
 
             3 -> {
-                targetUp = !targetUp
+                targetIsUp = !targetIsUp
             }
 
             4 -> {
@@ -103,96 +103,97 @@
             }
 
             in 8..13 -> {
-                links.values.randomOrNull(random)?.let { close(it) }
+                connections.values.randomOrNull(random)?.let { closeConnection(it) }
             }
 
             in 14..20 -> {
-                replay()
+                resendOldDispatch()
             }
         }
     }
 
-    private fun calm() {
-        chaos = false
-        targetUp = true
+    private fun stopFaults() {
+        faultsEnabled = false
+        targetIsUp = true
         frozenUntil = Duration.ZERO
         while (!inService(revision) || revision % 4 < 2) revision++
-        entries.forEach { it.chaos = false }
+        entries.forEach { it.faultsEnabled = false }
     }
 
-    private fun checkEnd() {
+    private fun checkFinalState() {
         for (entry in entries) {
-            val due = entry.due(incarnation)
-            if (due.isNotEmpty()) history.breach(clock.now, "no outcome", due)
-            if (entry.waiting.isNotEmpty()) history.breach(clock.now, "no credit", entry.waiting)
+            val unanswered = entry.attemptsAwaitingOutcome(incarnation)
+            if (unanswered.isNotEmpty()) checker.addViolation(clock.now, "no outcome", unanswered)
+            if (entry.waiting.isNotEmpty()) checker.addViolation(clock.now, "no credit", entry.waiting)
         }
-        val view = core.view()
-        if (view.tasksRunning + view.tasksQueued + view.requestsRunning != 0) history.breach(clock.now, "slots leaked", view)
+        val state = core.snapshot()
+        if (state.tasksRunning + state.tasksQueued + state.requestsRunning != 0) checker.addViolation(clock.now, "slots leaked", state)
     }
 
-    private fun arrive(entry: SimulatedEntry) {
+    private fun submitTasks(entry: SimulatedEntry) {
         if (entry.waiting.size > 8) return
         val age = if (random.nextInt(20) == 0) listOf(11.minutes, (-2).minutes).random(random) else Duration.ZERO
-        val made = clock.wall().minusMillis(age.inWholeMilliseconds)
-        val submission = SubmissionId.create(made, random.nextLong(), random.nextLong())
+        val createdAt = clock.wall().minusMillis(age.inWholeMilliseconds)
+        val submission = SubmissionId.create(createdAt, random.nextLong(), random.nextLong())
         val kind = if (random.nextInt(4) == 0) DispatchKind.REQUEST else DispatchKind.TASK
         val idempotent = random.nextInt(4) == 0
         repeat(random.nextInt(1, 4)) { task ->
-            history.created(submission.value, task, idempotent)
-            entry.waiting += WaitingTask(submission, task, attempt = 0, kind = kind, idempotent = idempotent).bounded(age)
+            checker.taskCreated(submission.value, task, idempotent)
+            entry.waiting += WaitingTask(submission, task, attempt = 0, kind = kind, idempotent = idempotent).limitRetries(age)
         }
     }
 
-    private fun WaitingTask.bounded(age: Duration) = if (age == Duration.ZERO) this else copy(attempt = 400)
+    /** Sets the highest attempt number if the id is out of time, so that the task is not retried. */
+    private fun WaitingTask.limitRetries(age: Duration) = if (age == Duration.ZERO) this else copy(attempt = 400)
 
-    private fun work(entry: SimulatedEntry) {
-        val link = links[entry]
-        if (link == null) open(entry) else toAgent(link, entry.work())
+    private fun runEntry(entry: SimulatedEntry) {
+        val connection = connections[entry]
+        if (connection == null) openConnection(entry) else sendToAgent(connection, entry.dispatchWaiting())
     }
 
-    private fun open(entry: SimulatedEntry) {
+    private fun openConnection(entry: SimulatedEntry) {
         if (clock.now < frozenUntil || random.nextInt(4) != 0) return
-        val link = Link(ConnectionId(++connectionIds), entry, agentRun)
-        links[entry] = link
-        step(AgentInput.ConnectionOpened(link.id))
-        toAgent(link, entry.connected())
+        val connection = SimulatedConnection(ConnectionId(++connectionIds), entry, agentEpoch)
+        connections[entry] = connection
+        step(AgentInput.ConnectionOpened(connection.id))
+        sendToAgent(connection, entry.onConnected())
     }
 
-    private fun close(link: Link) {
-        if (!link.isOpen) return
-        link.isOpen = false
-        links.remove(link.entry)
-        link.entry.disconnected()
-        at(clock.now + delay()) { if (link.agentRun == agentRun) step(AgentInput.ConnectionClosed(link.id)) }
+    private fun closeConnection(connection: SimulatedConnection) {
+        if (!connection.isOpen) return
+        connection.isOpen = false
+        connections.remove(connection.entry)
+        connection.entry.onDisconnected()
+        at(clock.now + networkDelay()) { if (connection.agentEpoch == agentEpoch) step(AgentInput.ConnectionClosed(connection.id)) }
     }
 
-    private fun toAgent(
-        link: Link,
+    private fun sendToAgent(
+        connection: SimulatedConnection,
         frame: EntryFrame,
     ) {
-        sent += frame.dispatches
-        link.toAgentAt = maxOf(link.toAgentAt, clock.now + delay())
-        val copies = if (chaos && random.nextInt(50) == 0) 2 else 1
-        at(link.toAgentAt) { repeat(copies) { deliver(link, frame) } }
+        sentDispatches += frame.dispatches
+        connection.lastArrivalAtAgent = maxOf(connection.lastArrivalAtAgent, clock.now + networkDelay())
+        val copies = if (faultsEnabled && random.nextInt(50) == 0) 2 else 1
+        at(connection.lastArrivalAtAgent) { repeat(copies) { deliver(connection, frame) } }
     }
 
     private fun deliver(
-        link: Link,
+        connection: SimulatedConnection,
         frame: EntryFrame,
     ) {
-        if (!link.isOpen || link.agentRun != agentRun) return
-        if (clock.now < frozenUntil) return at(frozenUntil) { deliver(link, frame) }
-        frame.permit?.let { history.permitted(it, requested.getValue(it.sequence)) }
-        step(AgentInput.FrameReceived(link.id, frame))
+        if (!connection.isOpen || connection.agentEpoch != agentEpoch) return
+        if (clock.now < frozenUntil) return at(frozenUntil) { deliver(connection, frame) }
+        frame.permit?.let { checker.permitReceived(it, permitRequestedAt.getValue(it.sequence)) }
+        step(AgentInput.FrameReceived(connection.id, frame))
     }
 
-    private fun replay() {
-        val dispatch = sent.randomOrNull(random) ?: return
-        links.values.randomOrNull(random)?.let { toAgent(it, EntryFrame(dispatches = listOf(dispatch))) }
+    private fun resendOldDispatch() {
+        val dispatch = sentDispatches.randomOrNull(random) ?: return
+        connections.values.randomOrNull(random)?.let { sendToAgent(it, EntryFrame(dispatches = listOf(dispatch))) }
     }
 
     private fun step(input: AgentInput) {
-        if (clock.now < frozenUntil) return at(frozenUntil, run = agentRun.let { run -> { if (run == agentRun) step(input) } })
+        if (clock.now < frozenUntil) return at(frozenUntil, action = agentEpoch.let { epoch -> { if (epoch == agentEpoch) step(input) } })
         if (input is AgentInput.TargetLeft) announcedAt = null
         inStep = true
         val actions = core.step(input)
@@ -202,37 +203,37 @@
 
     private fun perform(action: AgentAction) {
         when (action) {
-            is AgentAction.Send -> links.values.firstOrNull { it.id == action.connection }?.let { toEntry(it, action.frame) }
-            is AgentAction.Start -> start(action)
-            is AgentAction.Decided -> Unit
-            is AgentAction.Dropped -> Unit
+            is AgentAction.SendFrame -> connections.values.firstOrNull { it.id == action.connection }?.let { sendToEntry(it, action.frame) }
+            is AgentAction.CallTarget -> callTarget(action)
+            is AgentAction.RecordDecision -> Unit
+            is AgentAction.CountDroppedOutcome -> Unit
         }
     }
 
-    private fun toEntry(
-        link: Link,
+    private fun sendToEntry(
+        connection: SimulatedConnection,
         frame: AgentFrame,
     ) {
-        frame.permitRequest?.let { requested[it.sequence] = clock.now }
-        frame.outcomes.forEach { history.said(it, incarnation, clock.now) }
-        link.toEntryAt = maxOf(link.toEntryAt, clock.now + delay())
-        at(link.toEntryAt) {
-            if (!link.isOpen) return@at
-            val answer = link.entry.received(frame)
-            val permit = frame.permitRequest?.takeUnless { chaos && random.nextInt(5) == 0 }?.let { permit(it.sequence) }
-            toAgent(link, answer.copy(permit = permit))
+        frame.permitRequest?.let { permitRequestedAt[it.sequence] = clock.now }
+        frame.outcomes.forEach { checker.outcomeReported(it, incarnation, clock.now) }
+        connection.lastArrivalAtEntry = maxOf(connection.lastArrivalAtEntry, clock.now + networkDelay())
+        at(connection.lastArrivalAtEntry) {
+            if (!connection.isOpen) return@at
+            val reply = connection.entry.onFrame(frame)
+            val permit = frame.permitRequest?.takeUnless { faultsEnabled && random.nextInt(5) == 0 }?.let { createPermit(it.sequence) }
+            sendToAgent(connection, reply.copy(permit = permit))
         }
     }
 
-    private fun permit(sequence: Long): Permit {
-        val seen = if (chaos) (revision - random.nextLong(3)).coerceAtLeast(1) else revision
+    private fun createPermit(sequence: Long): Permit {
+        val permitRevision = if (faultsEnabled) (revision - random.nextLong(3)).coerceAtLeast(1) else revision
         return Permit(
             sequence = sequence,
-            revision = Revision(seen),
-            validMillis = if (chaos) random.nextLong(1500) else 2000,
-            inService = inService(seen),
-            slots = 1 + (seen % 4).toInt(),
-            connections = 3 + (seen % 3).toInt(),
+            revision = Revision(permitRevision),
+            validMillis = if (faultsEnabled) random.nextLong(1500) else 2000,
+            inService = inService(permitRevision),
+            slots = 1 + (permitRevision % 4).toInt(),
+            connections = 3 + (permitRevision % 3).toInt(),
             taskMillis = 5000,
             entries = emptyList(),
         )
@@ -240,45 +241,45 @@
 
     private fun inService(revision: Long) = revision % 3 != 0L
 
-    private fun start(action: AgentAction.Start) {
+    private fun callTarget(action: AgentAction.CallTarget) {
         val call = action.call
         val reference = TaskReference(call.submission, call.task, call.attempt)
-        val run = agentRun
-        val refused = clock.now >= action.before || random.nextInt(40) == 0
-        if (!refused) history.started(action, clock.now, hasTarget())
+        val epoch = agentEpoch
+        val isRefused = clock.now >= action.sendDeadline || random.nextInt(40) == 0
+        if (!isRefused) checker.taskStarted(action, clock.now, hasTarget())
         val result =
             when {
-                refused -> CallResult.NotSent("refused")
+                isRefused -> CallResult.NotSent("refused")
                 random.nextInt(20) == 0 -> CallResult.Unknown("cut")
                 random.nextInt(20) == 0 -> CallResult.Failed("status 500")
                 else -> CallResult.Done(reference.toString())
             }
-        val ran = random.nextLong(1, 400).milliseconds
-        val ended = AgentInput.CallEnded(reference, result, ran)
-        at(clock.now + ran) {
-            if (run != agentRun) return@at
-            history.ended(reference)
+        val duration = random.nextLong(1, 400).milliseconds
+        val ended = AgentInput.CallEnded(reference, result, duration)
+        at(clock.now + duration) {
+            if (epoch != agentEpoch) return@at
+            checker.callEnded(reference)
             step(ended)
             if (random.nextInt(20) == 0) step(ended)
         }
     }
 
-    private fun hasTarget() = announcedAt.let { it != null && clock.now - it < AgentOptions().announcementLife }
+    private fun hasTarget() = announcedAt.let { it != null && clock.now - it < AgentOptions().announcementTtl }
 
     private fun announce() {
-        if (!targetUp || clock.now < frozenUntil) return
+        if (!targetIsUp || clock.now < frozenUntil) return
         step(AgentInput.TargetAnnounced(announcement))
         announcedAt = clock.now
     }
 
     private fun restartAgent() {
-        links.values.toList().forEach { close(it) }
-        agentRun++
+        connections.values.toList().forEach { closeConnection(it) }
+        agentEpoch++
         frozenUntil = Duration.ZERO
         announcedAt = null
-        requested.clear()
-        history.restarted()
-        incarnation = IncarnationId("a.$agentRun")
+        permitRequestedAt.clear()
+        checker.agentRestarted()
+        incarnation = IncarnationId("a.$agentEpoch")
         val hello = AgentHello(AgentId("a1"), incarnation, SiteId("s1"), ZoneId("z1"))
         core =
             AgentCore(
@@ -289,15 +290,16 @@
             )
     }
 
-    private fun delay() = if (chaos && random.nextInt(20) == 0) random.nextLong(1500).milliseconds else random.nextLong(1, 5).milliseconds
+    private fun networkDelay() =
+        if (faultsEnabled && random.nextInt(20) == 0) random.nextLong(1500).milliseconds else random.nextLong(1, 5).milliseconds
 
     private fun at(
         time: Duration,
-        run: () -> Unit,
-    ) = loop.at(time, run)
+        action: () -> Unit,
+    ) = loop.at(time, action)
 
     private companion object {
-        val CHAOS = 12.seconds
-        val CALM = 25.seconds
+        val FAULT_PHASE = 12.seconds
+        val RECOVERY_PHASE = 25.seconds
     }
 }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/EntryLinkTest.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/EntryWebSocketTest.kt
@@ -14,34 +14,34 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.milliseconds
 
-private const val HANG_SECONDS = 30L
+private const val TEST_TIMEOUT_SECONDS = 30L
 private const val WEBSOCKET_GUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 
-class EntryLinkTest {
+class EntryWebSocketTest {
     @Nested
     inner class `a connection` {
         @Test
-        @Timeout(HANG_SECONDS)
-        fun `ends when the entry falls silent without closing it`() {
+        @Timeout(TEST_TIMEOUT_SECONDS)
+        fun `ends when the entry stops answering without closing it`() {
             ServerSocket(0).use { server ->
-                thread(isDaemon = true) { greetAndFallSilent(server) }
+                thread(isDaemon = true) { completeHandshakeAndStopAnswering(server) }
                 httpLink().use { client ->
-                    val link =
-                        EntryLink(
+                    val connection =
+                        EntryWebSocket(
                             id = ConnectionId(1),
                             address = Address("127.0.0.1:${server.localPort}"),
                             client = client,
                             metrics = AgentMetrics(PrometheusRegistry()),
-                            pingPeriod = 50.milliseconds,
-                            pingPatience = 100.milliseconds,
+                            pingInterval = 50.milliseconds,
+                            pingTimeout = 100.milliseconds,
                         )
-                    assertTrue(runBlocking { link.run(opened = {}, received = {}) }, "it was open")
+                    assertTrue(runBlocking { connection.run(onOpened = {}, onFrame = {}) }, "the connection was open")
                 }
             }
         }
     }
 
-    private fun greetAndFallSilent(server: ServerSocket) {
+    private fun completeHandshakeAndStopAnswering(server: ServerSocket) {
         val socket = server.accept()
         val lines = socket.getInputStream().bufferedReader().lineSequence()
         val headers = lines.takeWhile { it.isNotEmpty() }.toList()
--- a/agent/src/test/kotlin/io/bluebellramp/agent/FakeEntry.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/FakeEntry.kt
@@ -28,9 +28,9 @@
 import java.time.Instant
 
 /**
- * An entry on a real socket that permits everything and spends each credit on the next payload of [payloads].
+ * An entry on a real socket that grants permits while [grantsPermits] is true and spends each credit on the next of [payloads].
  *
- * Credits may come before the payloads do. They are kept, and spent at the next frame of the agent.
+ * Credits may arrive before the payloads. Unspent credits are kept and used when the next frame of the agent arrives.
  */
 internal class FakeEntry(
     name: String = "e1",
@@ -41,13 +41,13 @@
     val outcomes = Channel<TaskOutcome>(Channel.UNLIMITED)
     val leaving = Channel<Unit>(Channel.CONFLATED)
 
-    /** Tells that credits have come. */
-    val granted = Channel<Unit>(Channel.CONFLATED)
+    /** Signals that the entry holds credits. */
+    val creditsReceived = Channel<Unit>(Channel.CONFLATED)
 
     @Volatile
-    var permitted = true
+    var grantsPermits = true
     private val hello = EntryHello(EntryId(name), IncarnationId("run1"))
-    private val server = httpServer(address, Ready, PrometheusRegistry()) { agents() }
+    private val server = httpServer(address, AlwaysReady, PrometheusRegistry()) { agentRoute() }
 
     init {
         server.start(wait = false)
@@ -55,31 +55,31 @@
 
     override fun close() = server.stop(0, 0)
 
-    private fun Route.agents() =
+    private fun Route.agentRoute() =
         webSocket("/agents") {
             var agent: IncarnationId? = null
             var received = 0L
             var credits = 0
             reply(EntryFrame(hello = hello))
-            for (text in incoming) {
-                val frame = WireJson.decodeFromString<AgentFrame>((text as Frame.Text).readText())
+            for (message in incoming) {
+                val frame = WireJson.decodeFromString<AgentFrame>((message as Frame.Text).readText())
                 frame.hello?.let { agent = it.incarnation }
                 frame.outcomes.forEach { outcomes.send(it) }
                 received += frame.outcomes.size
                 if (frame.leaving) leaving.send(Unit)
                 credits += frame.credits?.slots ?: 0
-                if (credits > 0) granted.trySend(Unit)
+                if (credits > 0) creditsReceived.trySend(Unit)
                 val returned = minOf(credits, frame.recalled?.slots ?: 0)
                 credits -= returned
-                val work = synchronized(payloads) { List(minOf(credits, payloads.size)) { payloads.removeFirst() } }
-                credits -= work.size
-                val permit = frame.permitRequest?.takeIf { permitted }?.let { permit(it.sequence) }
-                val dispatches = work.map { dispatch(it, checkNotNull(agent)) }
-                val waiting = synchronized(payloads) { payloads.size }
+                val batch = synchronized(payloads) { List(minOf(credits, payloads.size)) { payloads.removeFirst() } }
+                credits -= batch.size
+                val permit = frame.permitRequest?.takeIf { grantsPermits }?.let { createPermit(it.sequence) }
+                val dispatches = batch.map { createDispatch(it, checkNotNull(agent)) }
+                val remaining = synchronized(payloads) { payloads.size }
                 reply(
                     EntryFrame(
                         permit = permit,
-                        demand = Demand(waiting, waiting),
+                        demand = Demand(remaining, remaining),
                         dispatches = dispatches,
                         received = received,
                         returned = Credits(returned, 0).takeIf { returned > 0 },
@@ -91,7 +91,7 @@
     private suspend fun DefaultWebSocketServerSession.reply(frame: EntryFrame) =
         send(Frame.Text(WireJson.encodeToString(EntryFrame.serializer(), frame)))
 
-    private fun permit(sequence: Long) =
+    private fun createPermit(sequence: Long) =
         Permit(
             sequence = sequence,
             revision = Revision(1),
@@ -103,13 +103,13 @@
             entries = listOf(address),
         )
 
-    private fun dispatch(
+    private fun createDispatch(
         payload: String,
         agent: IncarnationId,
     ) = Dispatch(SubmissionId.create(Instant.now()), 0, 0, agent, DispatchKind.TASK, payload, remainingMillis = 10_000)
 }
 
-internal object Ready : Health {
+internal object AlwaysReady : Health {
     override fun isReady() = true
 }
 
--- a/agent/src/test/kotlin/io/bluebellramp/agent/ManualClock.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/ManualClock.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 import kotlin.time.toJavaDuration
 
-/** A clock that tests advance. [onRead] runs before each reading of the monotonic time, to model a process that freezes there. */
+/** A clock that tests advance. [onRead] runs before each reading of the monotonic time, to simulate a process that freezes there. */
 internal class ManualClock(
     private val onRead: ManualClock.() -> Unit = {},
 ) : Clock {
--- a/agent/src/test/kotlin/io/bluebellramp/agent/RawTarget.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/RawTarget.kt
@@ -7,15 +7,15 @@
 import kotlin.concurrent.thread
 
 /**
- * A target on a plain socket that counts the requests it has read and answers each as [answer] says.
+ * A target on a plain socket that counts the requests it has read.
  *
- * @param answer given the number of the request from 1, the bytes to write before the connection is closed or kept
+ * @param response returns the response to a request, given the number of the request from 1
  */
 internal class RawTarget(
-    private val answer: (Int) -> RawAnswer,
+    private val response: (Int) -> RawResponse,
 ) : AutoCloseable {
     private val server = ServerSocket(0)
-    private val open = ArrayList<Socket>()
+    private val sockets = ArrayList<Socket>()
     val requests = AtomicInteger()
     val address = Address("127.0.0.1:${server.localPort}")
 
@@ -25,12 +25,12 @@
 
     override fun close() {
         server.close()
-        synchronized(open) { open.forEach(Socket::close) }
+        synchronized(sockets) { sockets.forEach(Socket::close) }
     }
 
     private fun accept() {
         val socket = runCatching { server.accept() }.getOrNull() ?: return
-        synchronized(open) { open += socket }
+        synchronized(sockets) { sockets += socket }
         thread(isDaemon = true) { runCatching { serve(socket) } }
     }
 
@@ -45,26 +45,26 @@
             }
             if (length == 0) return socket.close()
             input.readNBytes(length)
-            val answer = answer(requests.incrementAndGet())
-            socket.getOutputStream().write(answer.text.toByteArray())
-            if (!answer.keeps) return socket.close()
+            val response = response(requests.incrementAndGet())
+            socket.getOutputStream().write(response.text.toByteArray())
+            if (!response.keepOpen) return socket.close()
         }
     }
 }
 
-/** Bytes of an answer, and whether the connection stays open after them. */
-internal class RawAnswer(
+/** The bytes of a response, and whether the connection stays open after them. */
+internal class RawResponse(
     val text: String,
-    val keeps: Boolean,
+    val keepOpen: Boolean,
 ) {
     companion object {
-        val CLOSE = RawAnswer("", keeps = false)
-        val SILENCE = RawAnswer("", keeps = true)
+        val CLOSE = RawResponse("", keepOpen = false)
+        val NO_RESPONSE = RawResponse("", keepOpen = true)
 
         fun ok(
             body: String,
             length: Int = body.length,
-            keeps: Boolean = true,
-        ) = RawAnswer("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: $length\r\n\r\n$body", keeps)
+            keepOpen: Boolean = true,
+        ) = RawResponse("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: $length\r\n\r\n$body", keepOpen)
     }
 }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/SimulatedEntry.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/SimulatedEntry.kt
@@ -15,7 +15,7 @@
 import io.bluebellramp.messages.TaskStatus
 import kotlin.random.Random
 
-/** A task that waits at a simulated entry. */
+/** A task queued at a simulated entry. */
 internal data class WaitingTask(
     val submission: SubmissionId,
     val task: Int,
@@ -24,53 +24,53 @@
     val idempotent: Boolean,
 )
 
-/** An entry that keeps the rules of the frames, apart from what [chaos] adds. One run of it at a time is connected once. */
+/** An entry that follows the protocol unless [faultsEnabled] is set. Only one incarnation of it is connected at a time, and only once. */
 internal class SimulatedEntry(
     private val name: String,
     private val random: Random,
 ) {
-    private class Open(
+    private class OpenAttempt(
         val task: WaitingTask,
         val agent: IncarnationId,
         var isConfirmed: Boolean,
     )
 
-    private class Life(
+    private class TaskHistory(
         var attempts: Int = 0,
         var mayHaveStarted: Boolean = false,
     )
 
-    private val lives = HashMap<Pair<SubmissionId, Int>, Life>()
-    private var runs = 0
+    private val histories = HashMap<Pair<SubmissionId, Int>, TaskHistory>()
+    private var incarnations = 0
     private var agent: IncarnationId? = null
     private var slots = 0
     private var connections = 0
-    private var received = 0L
-    private val open = LinkedHashMap<TaskReference, Open>()
-    private val over = HashSet<Pair<SubmissionId, Int>>()
-    private val cancelled = HashSet<TaskReference>()
+    private var receivedOutcomes = 0L
+    private val openAttempts = LinkedHashMap<TaskReference, OpenAttempt>()
+    private val finishedTasks = HashSet<Pair<SubmissionId, Int>>()
+    private val cancelledAttempts = HashSet<TaskReference>()
     val waiting = ArrayDeque<WaitingTask>()
-    var chaos = true
+    var faultsEnabled = true
     private lateinit var hello: EntryHello
 
-    /** Attempts whose outcome is due from the run [agent] of the agent. */
-    fun due(agent: IncarnationId) = open.filterValues { it.agent == agent }.keys
+    /** Returns the attempts whose outcome the incarnation [agent] of the agent has yet to report. */
+    fun attemptsAwaitingOutcome(agent: IncarnationId) = openAttempts.filterValues { it.agent == agent }.keys
 
     fun restart() {
-        runs++
-        hello = EntryHello(EntryId(name), IncarnationId("$name.$runs"))
-        open.clear()
+        incarnations++
+        hello = EntryHello(EntryId(name), IncarnationId("$name.$incarnations"))
+        openAttempts.clear()
         waiting.clear()
-        disconnected()
+        onDisconnected()
     }
 
-    fun connected() = EntryFrame(hello = hello)
+    fun onConnected() = EntryFrame(hello = hello)
 
-    fun disconnected() {
+    fun onDisconnected() {
         agent = null
         dropCredits()
-        received = 0
-        open.values.forEach { it.isConfirmed = false }
+        receivedOutcomes = 0
+        openAttempts.values.forEach { it.isConfirmed = false }
     }
 
     private fun dropCredits() {
@@ -78,105 +78,106 @@
         connections = 0
     }
 
-    /** Takes a frame and returns the answer without its permit. */
-    fun received(frame: AgentFrame): EntryFrame {
-        val inquiries = frame.hello?.let { greeted(it.incarnation) }.orEmpty()
+    /** Handles a frame and returns the reply to it, without a permit. */
+    fun onFrame(frame: AgentFrame): EntryFrame {
+        val inquiries = frame.hello?.let { onAgentHello(it.incarnation) }.orEmpty()
         if (frame.target?.present == false) dropCredits()
         slots += frame.credits?.slots ?: 0
         connections += frame.credits?.connections ?: 0
-        received += frame.outcomes.size
-        frame.outcomes.forEach(::ended)
-        val returned = frame.recalled?.takeUnless { chaos && random.nextInt(10) == 0 }?.let(::giveBack)
-        return work().copy(inquiries = inquiries, returned = returned, received = received)
+        receivedOutcomes += frame.outcomes.size
+        frame.outcomes.forEach(::onOutcome)
+        val returned = frame.recalled?.takeUnless { faultsEnabled && random.nextInt(10) == 0 }?.let(::returnCredits)
+        return dispatchWaiting().copy(inquiries = inquiries, returned = returned, received = receivedOutcomes)
     }
 
-    /** Dispatches what it has credits for, and now and then cancels or misbehaves. */
-    fun work(): EntryFrame {
-        val run = agent ?: return EntryFrame()
+    /** Dispatches the tasks that the credits allow. With faults enabled it sometimes cancels attempts or breaks the protocol. */
+    fun dispatchWaiting(): EntryFrame {
+        val incarnation = agent ?: return EntryFrame()
         val dispatches = ArrayList<Dispatch>()
-        val work = ArrayDeque(waiting)
+        val tasks = ArrayDeque(waiting)
         waiting.clear()
-        for (task in work) {
+        for (task in tasks) {
             val isTask = task.kind == DispatchKind.TASK
-            val held = if (isTask) slots else connections
-            val greedy = chaos && random.nextInt(50) == 0
-            if (held == 0 && !greedy) {
+            val credits = if (isTask) slots else connections
+            val ignoresCredits = faultsEnabled && random.nextInt(50) == 0
+            if (credits == 0 && !ignoresCredits) {
                 waiting += task
                 continue
             }
-            if (held > 0) {
+            if (credits > 0) {
                 if (isTask) {
                     slots--
                 } else {
                     connections--
                 }
             }
-            dispatches += dispatch(task, run)
+            dispatches += dispatch(task, incarnation)
         }
-        if (chaos && random.nextInt(30) == 0) retryWithoutProof(run)?.let { dispatches += it }
-        val cancels = if (chaos && random.nextInt(20) == 0) open.keys.shuffled(random).take(1) else emptyList()
-        cancelled += cancels
-        val tasks = waiting.count { it.kind == DispatchKind.TASK }
-        return EntryFrame(demand = Demand(tasks, tasks), dispatches = dispatches, cancels = cancels, received = received)
+        if (faultsEnabled && random.nextInt(30) == 0) retryWithoutProof(incarnation)?.let { dispatches += it }
+        val cancels = if (faultsEnabled && random.nextInt(20) == 0) openAttempts.keys.shuffled(random).take(1) else emptyList()
+        cancelledAttempts += cancels
+        val queued = waiting.count { it.kind == DispatchKind.TASK }
+        return EntryFrame(demand = Demand(queued, queued), dispatches = dispatches, cancels = cancels, received = receivedOutcomes)
     }
 
     private fun dispatch(
         task: WaitingTask,
-        run: IncarnationId,
+        incarnation: IncarnationId,
     ): Dispatch {
         val reference = TaskReference(task.submission, task.task, task.attempt)
-        open[reference] = Open(task, run, isConfirmed = true)
-        return Dispatch(task.submission, task.task, task.attempt, run, task.kind, reference.toString(), 60_000, task.idempotent)
+        openAttempts[reference] = OpenAttempt(task, incarnation, isConfirmed = true)
+        return Dispatch(task.submission, task.task, task.attempt, incarnation, task.kind, reference.toString(), 60_000, task.idempotent)
     }
 
-    private fun retryWithoutProof(run: IncarnationId): Dispatch? {
-        val victim = open.values.filter { it.agent == run }.randomOrNull(random) ?: return null
-        return dispatch(next(victim.task), run)
+    /** Dispatches the next attempt of a task although the open one may have started. */
+    private fun retryWithoutProof(incarnation: IncarnationId): Dispatch? {
+        val replaced = openAttempts.values.filter { it.agent == incarnation }.randomOrNull(random) ?: return null
+        return dispatch(nextAttempt(replaced.task), incarnation)
     }
 
-    private fun greeted(run: IncarnationId): List<TaskReference> {
-        agent = run
-        val lost = open.filterValues { it.agent != run }
+    private fun onAgentHello(incarnation: IncarnationId): List<TaskReference> {
+        agent = incarnation
+        val lost = openAttempts.filterValues { it.agent != incarnation }
         lost.forEach { (reference, attempt) ->
-            open.remove(reference)
-            again(attempt.task, mayHaveStarted = true)
+            openAttempts.remove(reference)
+            retryIfAllowed(attempt.task, mayHaveStarted = true)
         }
-        return open.filterValues { !it.isConfirmed }.keys.toList()
+        return openAttempts.filterValues { !it.isConfirmed }.keys.toList()
     }
 
-    private fun ended(outcome: TaskOutcome) {
+    private fun onOutcome(outcome: TaskOutcome) {
         val reference = TaskReference(outcome.submission, outcome.task, outcome.attempt)
         if (outcome.status == TaskStatus.RUNNING) return
-        val attempt = open.remove(reference) ?: return
-        val isOver = outcome.status == TaskStatus.DONE || outcome.status == TaskStatus.ERROR
-        if (isOver || reference in cancelled) over += attempt.task.submission to attempt.task.task
-        again(attempt.task, mayHaveStarted = outcome.status != TaskStatus.NOT_RUN)
+        val attempt = openAttempts.remove(reference) ?: return
+        val isFinished = outcome.status == TaskStatus.DONE || outcome.status == TaskStatus.ERROR
+        if (isFinished || reference in cancelledAttempts) finishedTasks += attempt.task.submission to attempt.task.task
+        retryIfAllowed(attempt.task, mayHaveStarted = outcome.status != TaskStatus.NOT_RUN)
     }
 
-    private fun again(
+    private fun retryIfAllowed(
         task: WaitingTask,
         mayHaveStarted: Boolean,
     ) {
-        val life = life(task)
-        life.mayHaveStarted = life.mayHaveStarted || mayHaveStarted
-        val isOpen = open.keys.any { it.submission == task.submission && it.task == task.task }
-        if (isOpen || task.attempt >= MAX_ATTEMPTS || (task.submission to task.task) in over) return
-        if (task.idempotent || !life.mayHaveStarted) waiting += next(task)
+        val history = history(task)
+        history.mayHaveStarted = history.mayHaveStarted || mayHaveStarted
+        val isOpen = openAttempts.keys.any { it.submission == task.submission && it.task == task.task }
+        if (isOpen || task.attempt >= MAX_ATTEMPTS || (task.submission to task.task) in finishedTasks) return
+        if (task.idempotent || !history.mayHaveStarted) waiting += nextAttempt(task)
     }
 
-    private fun next(task: WaitingTask): WaitingTask {
-        val life = life(task)
-        life.attempts = maxOf(life.attempts, task.attempt) + 1
-        return task.copy(attempt = life.attempts)
+    private fun nextAttempt(task: WaitingTask): WaitingTask {
+        val history = history(task)
+        history.attempts = maxOf(history.attempts, task.attempt) + 1
+        return task.copy(attempt = history.attempts)
     }
 
-    private fun life(task: WaitingTask) = lives.getOrPut(task.submission to task.task) { Life() }
+    private fun history(task: WaitingTask) = histories.getOrPut(task.submission to task.task) { TaskHistory() }
 
-    private fun giveBack(recalled: Credits): Credits {
-        val back = Credits(minOf(slots, recalled.slots), minOf(connections, recalled.connections))
-        slots -= back.slots
-        connections -= back.connections
-        return back
+    private fun returnCredits(recalled: Credits): Credits {
+        val returned = Credits(minOf(slots, recalled.slots), minOf(connections, recalled.connections))
+        slots -= returned.slots
+        connections -= returned.connections
+        return returned
     }
 
     private companion object {
--- a/agent/src/test/kotlin/io/bluebellramp/agent/EventLoop.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/SimulatedEventLoop.kt
@@ -3,40 +3,40 @@
 import java.util.PriorityQueue
 import kotlin.time.Duration
 
-/** Runs what is due in the order of time, then of arrival, and moves [clock] along. */
-internal class EventLoop(
+/** Runs scheduled events in the order of their time, then of their scheduling, and advances [clock]. */
+internal class SimulatedEventLoop(
     private val clock: ManualClock,
 ) {
     private class Event(
         val at: Duration,
-        val order: Long,
-        val run: () -> Unit,
+        val sequence: Long,
+        val action: () -> Unit,
     )
 
-    private val events = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.order })
-    private var order = 0L
+    private val events = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.sequence })
+    private var sequence = 0L
 
     fun at(
         time: Duration,
-        run: () -> Unit,
+        action: () -> Unit,
     ) {
-        events.add(Event(time, order++, run))
+        events.add(Event(time, sequence++, action))
     }
 
     fun every(
         period: Duration,
-        run: () -> Unit,
+        action: () -> Unit,
     ): Unit =
         at(clock.now + period) {
-            run()
-            every(period, run)
+            action()
+            every(period, action)
         }
 
     fun runUntil(time: Duration) {
         while (events.peek().at < time) {
             val event = events.remove()
             clock.now = maxOf(clock.now, event.at)
-            event.run()
+            event.action()
         }
         clock.now = maxOf(clock.now, time)
     }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/StartLedgerTest.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/StartLedgerTest.kt
@@ -20,7 +20,7 @@
     @Nested
     inner class `A later attempt` {
         @Test
-        fun `starts only after proof, or if it may run twice`() {
+        fun `starts only if the earlier one provably did not start, or if the task is idempotent`() {
             class Case(
                 val before: (TaskReference) -> Unit,
                 val idempotent: Boolean,
@@ -48,7 +48,7 @@
     }
 
     @Nested
-    inner class `A number that is used again` {
+    inner class `A repeated attempt number` {
         @Test
         fun `never starts`() {
             val task = reference(attempt = 2)
@@ -61,9 +61,9 @@
     }
 
     @Nested
-    inner class Memory {
+    inner class Storage {
         @Test
-        fun `is given back one life after the time in the id`() {
+        fun `is released one submission TTL after the time in the id`() {
             repeat(1000) { admitAndStart(reference()) }
             clock.now += 9.minutes
             ledger.expire()
@@ -75,34 +75,34 @@
         }
 
         @Test
-        fun `that was given back stays refused when the wall clock goes back`() {
-            val wall = SteppedClock()
-            val stepped = StartLedger(wall, AgentOptions())
+        fun `that was released does not accept the task again when the wall clock moves back`() {
+            val wall = AdjustableWallClock()
+            val adjustedLedger = StartLedger(wall, AgentOptions())
             val task = reference()
-            assertNull(stepped.admit(task, idempotent = false))
+            assertNull(adjustedLedger.admit(task, idempotent = false))
             wall.offset = 12.minutes
-            stepped.expire()
+            adjustedLedger.expire()
             wall.offset = Duration.ZERO
-            assertEquals(Refusal.ID_OUT_OF_TIME, stepped.admit(task, idempotent = false))
+            assertEquals(Refusal.ID_OUT_OF_TIME, adjustedLedger.admit(task, idempotent = false))
         }
 
         @Test
-        fun `is flat and small`() {
+        fun `returns the last value stored for each task`() {
             val random = Random(1)
-            val kept = HashMap<TaskKey, Int>()
-            val table = StartTable()
+            val expected = HashMap<TaskKey, Int>()
+            val map = TaskIntMap()
             repeat(20_000) {
                 val key = TaskKey(random.nextLong(8), random.nextLong(4), random.nextInt(1000))
                 val value = random.nextInt(1, 100)
-                kept[key] = value
-                table.put(key, value)
+                expected[key] = value
+                map.put(key, value)
             }
-            assertEquals(kept.size, table.size)
-            kept.forEach { (key, value) -> assertEquals(value, table.get(key)) }
+            assertEquals(expected.size, map.size)
+            expected.forEach { (key, value) -> assertEquals(value, map.get(key)) }
         }
     }
 
-    private class SteppedClock : Clock {
+    private class AdjustableWallClock : Clock {
         var offset = Duration.ZERO
 
         override fun monotonic() = Duration.ZERO
--- a/agent/src/test/kotlin/io/bluebellramp/agent/TargetLinkTest.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/TargetClientTest.kt
@@ -18,69 +18,69 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-private const val HANG_SECONDS = 60L
+private const val TEST_TIMEOUT_SECONDS = 60L
 
-@Timeout(HANG_SECONDS)
-class TargetLinkTest {
-    private val link = TargetLink(SystemClock)
+@Timeout(TEST_TIMEOUT_SECONDS)
+class TargetClientTest {
+    private val client = TargetClient(SystemClock)
     private val call = TargetCall(SubmissionId.create(ManualClock.BASE), task = 1, attempt = 0, kind = DispatchKind.TASK, payload = "p")
-    private val whole = answer(task = 1)
+    private val completeAnswer = answer(task = 1)
 
     @AfterEach
-    fun close() = link.close()
+    fun close() = client.close()
 
     @Nested
     inner class `a call` {
         @Test
-        fun `is sent once when a kept connection closes after the request was read`() =
-            RawTarget { if (it == 1) RawAnswer.ok(whole) else RawAnswer.CLOSE }.use { target ->
+        fun `is sent once when a reused connection closes after the request was read`() =
+            RawTarget { if (it == 1) RawResponse.ok(completeAnswer) else RawResponse.CLOSE }.use { target ->
                 assertIs<CallResult.Done>(run(target.address))
                 assertIs<CallResult.Unknown>(run(target.address))
-                assertEquals(2, target.requests.get(), "one request for each call")
+                assertEquals(2, target.requests.get(), "one request per call")
             }
 
         @Test
-        fun `is sent once when a fresh connection closes after the request was read`() =
-            RawTarget { RawAnswer.CLOSE }.use { target ->
+        fun `is sent once when a new connection closes after the request was read`() =
+            RawTarget { RawResponse.CLOSE }.use { target ->
                 assertIs<CallResult.Unknown>(run(target.address))
                 assertEquals(1, target.requests.get())
             }
 
         @Test
-        fun `has no result when the answer is cut short`() =
-            RawTarget { RawAnswer.ok(whole, length = whole.length + 1, keeps = false) }.use { target ->
+        fun `has an unknown outcome when the answer is truncated`() =
+            RawTarget { RawResponse.ok(completeAnswer, length = completeAnswer.length + 1, keepOpen = false) }.use { target ->
                 assertIs<CallResult.Unknown>(run(target.address))
                 assertEquals(1, target.requests.get())
             }
 
         @Test
-        fun `has no result when the answer is that of another task`() =
-            RawTarget { RawAnswer.ok(answer(task = 2)) }.use { target ->
-                assertEquals(CallResult.Unknown(TargetLink.CROSSED), run(target.address))
+        fun `has an unknown outcome when the answer belongs to another task`() =
+            RawTarget { RawResponse.ok(answer(task = 2)) }.use { target ->
+                assertEquals(CallResult.Unknown(TargetClient.MISMATCHED_ANSWER), run(target.address))
             }
 
         @Test
-        fun `has no result when the target takes too long`() =
-            RawTarget { RawAnswer.SILENCE }.use { target ->
+        fun `has an unknown outcome when the target does not answer in time`() =
+            RawTarget { RawResponse.NO_RESPONSE }.use { target ->
                 assertEquals(CallResult.Unknown("timeout"), run(target.address, timeout = 200.milliseconds))
                 assertEquals(1, target.requests.get())
             }
 
         @Test
-        fun `has failed when the target says so`() =
-            RawTarget { RawAnswer("HTTP/1.1 500 Broken\r\ncontent-length: 2\r\n\r\nno", keeps = true) }.use { target ->
+        fun `fails when the target answers with an error status`() =
+            RawTarget { RawResponse("HTTP/1.1 500 Broken\r\ncontent-length: 2\r\n\r\nno", keepOpen = true) }.use { target ->
                 assertEquals(CallResult.Failed("status 500: no"), run(target.address))
             }
 
         @Test
-        fun `is not sent when nothing listens`() {
+        fun `is not sent when the connection is refused`() {
             assertEquals(CallResult.NotSent("connection_refused"), run(freeAddress()))
         }
 
         @Test
-        fun `is not sent once the permit has run out`() =
-            RawTarget { RawAnswer.ok(whole) }.use { target ->
-                assertEquals(CallResult.NotSent("permit_ran_out"), run(target.address, before = SystemClock.monotonic()))
+        fun `is not sent once the permit has expired`() =
+            RawTarget { RawResponse.ok(completeAnswer) }.use { target ->
+                assertEquals(CallResult.NotSent("permit_ran_out"), run(target.address, sendDeadline = SystemClock.monotonic()))
                 assertEquals(0, target.requests.get())
             }
     }
@@ -88,8 +88,8 @@
     private fun run(
         address: Address,
         timeout: Duration = 5.seconds,
-        before: Duration = SystemClock.monotonic() + 5.seconds,
-    ) = runBlocking { link.call(AgentAction.Start(call, address, before, timeout)).result }
+        sendDeadline: Duration = SystemClock.monotonic() + 5.seconds,
+    ) = runBlocking { client.call(AgentAction.CallTarget(call, address, sendDeadline, timeout)).result }
 
     private fun answer(task: Int) =
         WireJson.encodeToString(TargetAnswer.serializer(), TargetAnswer(call.submission, task, call.attempt, "result"))
