--- a/placement/src/main/kotlin/io/bluebellramp/placement/FirstComeQueue.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/FirstComeQueue.kt
@@ -2,9 +2,9 @@
 
 import kotlin.time.Duration
 
-/** Runs jobs in the order of their arrival. It is the baseline that other orders are compared with. */
+/** Runs jobs in the order of their arrival: the baseline for comparing other orders. */
 class FirstComeQueue(
     quota: TeamQuota = TeamQuota.Unlimited,
 ) : TeamJobQueue(order = JobState.byArrival, quota = quota) {
-    override fun next(now: Duration): JobState? = open().mapNotNull { it.first() }.minWithOrNull(JobState.byArrival)
+    override fun nextJob(now: Duration): JobState? = startableTeams().mapNotNull { it.first() }.minWithOrNull(JobState.byArrival)
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/GrantPolicy.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/GrantPolicy.kt
@@ -3,11 +3,11 @@
 import io.bluebellramp.core.EntryId
 
 /**
- * The standing of one entry at an agent.
+ * The credits and demand of one entry at an agent.
  *
- * @property unspent credits granted to the entry and neither spent nor returned
- * @property demand what waits there, as last reported
- * @property recalled how many of the unspent credits have been asked back without an answer yet
+ * @property unspent number of granted credits that were neither spent nor returned
+ * @property demand demand last reported by the entry
+ * @property recalled number of unspent credits that were recalled and not returned yet
  */
 data class EntryStanding(
     val entry: EntryId,
@@ -17,22 +17,22 @@
 )
 
 /**
- * What an agent should tell its entries now.
+ * The credits that an agent should grant and recall now.
  *
- * @property grants credits to add, by entry
- * @property recalls credits to ask back, by entry
+ * @property grants number of credits to grant, by entry
+ * @property recalls number of credits to recall, by entry
  */
 data class GrantDecision(
     val grants: Map<EntryId, Int>,
     val recalls: Map<EntryId, Int>,
 )
 
-/** Shares the free slots of one executor between the entries. No I/O. */
+/** Divides the free slots of one executor among the entries. Does no I/O. */
 interface GrantPolicy {
     /**
-     * Decides who gets the free slots.
+     * Decides which entries get the free slots and which must return credits.
      *
-     * @param free slots, and places in the short queue of the agent, that are neither used nor granted
+     * @param free number of slots, and of places in the short queue of the agent, that are neither used nor granted
      */
     fun decide(
         free: Int,
--- a/placement/src/main/kotlin/io/bluebellramp/placement/HedgingBudget.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/HedgingBudget.kt
@@ -3,28 +3,28 @@
 import kotlin.time.Duration
 
 /**
- * Bounds the hedged attempts of idempotent requests to a share of the requests, and to those that are slow for their service.
+ * Limits hedged attempts of idempotent requests to a share of the requests, and to requests that are slow for their service.
  *
- * @param share hedged attempts as a share of the requests, from 0 to 1; 0 switches hedging off
+ * @param share allowed hedged attempts as a share of the requests, from 0 to 1; 0 disables hedging
  * @param model learned run times of the service
  */
 class HedgingBudget(
     share: Double,
     private val model: RunTimeModel,
-    burst: Int = RetryBudget.BURST,
+    burst: Int = RetryBudget.DEFAULT_BURST,
 ) {
     private val bucket = TokenBucket(share = share, capacity = if (share > 0.0) burst.toDouble() else 0.0)
 
-    /** How long an attempt runs before a second one is worth its cost. */
-    val delay: Duration get() = model.quantile(SLOW_SHARE)
+    /** Time after which a second attempt is worth its cost. */
+    val delay: Duration get() = model.quantile(SLOW_QUANTILE)
 
-    /** Notes a first attempt. */
-    fun requested() = bucket.fill()
+    /** Records the first attempt of a request. */
+    fun requested() = bucket.refill()
 
-    /** Spends one hedged attempt for a request that has run for [ran] and returns true, or returns false. */
+    /** Takes one hedged attempt from the budget for a request that has run for [ran]. Returns false if it is too early or none is left. */
     fun tryHedge(ran: Duration): Boolean = ran >= delay && bucket.trySpend()
 
     private companion object {
-        const val SLOW_SHARE = 0.95
+        const val SLOW_QUANTILE = 0.95
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/JobAdmission.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/JobAdmission.kt
@@ -4,48 +4,51 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Whether a new job is taken. */
-sealed interface AdmissionVerdict {
-    /** The job is placed now. */
-    data object Admit : AdmissionVerdict
+/** Whether a new job is accepted. */
+sealed interface AdmissionDecision {
+    /** The job is accepted and placed now. */
+    data object Admit : AdmissionDecision
 
-    /** The job would end after its objective: it is refused before anything of it starts, and may come back after [retryAfter]. */
+    /** The job would miss its objective. It is refused before any task starts and may be submitted again after [retryAfter]. */
     data class Refuse(
         val retryAfter: Duration,
         val expectedWait: Duration,
-    ) : AdmissionVerdict
+    ) : AdmissionDecision
 }
 
 /**
- * Decides at arrival whether a job can still end in time, so that its caller hears at once if it cannot.
+ * Decides on arrival whether a job can end in time, so that its caller learns at once if it cannot.
  *
- * Answers overload: when the work that waits is longer than a job's slack, taking it would make it late, and the jobs behind it too.
+ * This limits overload: if the queued work takes longer than the slack of a job, accepting it would delay the jobs behind it as well.
  */
 class JobAdmission {
     /**
-     * @param wait wait expected for its first task
-     * @param longest wait expected for its last task, if all are placed now
-     * @param slack time that its tasks may wait and still end in time
+     * @param firstWait expected wait of the first task
+     * @param lastWait expected wait of the last task, if all are placed now
+     * @param slack time that the tasks may wait without missing the objective
      */
-    fun judge(
-        wait: Duration,
+    fun decide(
+        firstWait: Duration,
         slack: Duration,
-        longest: Duration = wait,
-    ): AdmissionVerdict {
-        val isFirstInTime = wait <= Duration.ZERO || wait <= slack * SHARE_OF_SLACK
-        if (isFirstInTime && longest <= slack * SHARE_FOR_LAST) return AdmissionVerdict.Admit
-        val late = maxOf(wait, longest)
-        return AdmissionVerdict.Refuse(retryAfter = (late - slack).coerceIn(SHORTEST_RETRY, LONGEST_RETRY), expectedWait = late)
+        lastWait: Duration = firstWait,
+    ): AdmissionDecision {
+        val isFirstInTime = firstWait <= Duration.ZERO || firstWait <= slack * FIRST_WAIT_SLACK_SHARE
+        if (isFirstInTime && lastWait <= slack * LAST_WAIT_SLACK_SHARE) return AdmissionDecision.Admit
+        val expectedWait = maxOf(firstWait, lastWait)
+        return AdmissionDecision.Refuse(
+            retryAfter = (expectedWait - slack).coerceIn(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+            expectedWait = expectedWait,
+        )
     }
 
     private companion object {
-        /** Part of the slack that a wait may take; the rest is for the links and for estimates that are off. */
-        const val SHARE_OF_SLACK = 0.8
+        /** Share of the slack that the first wait may use; the rest covers network delays and wrong estimates. */
+        const val FIRST_WAIT_SLACK_SHARE = 0.8
 
-        /** The same for the last task. Waits are off by half, and a strict bound would refuse wide jobs out of proportion. */
-        const val SHARE_FOR_LAST = 2.0
+        /** The same for the last task. Expected waits are off by half, so a strict limit would refuse too many wide jobs. */
+        const val LAST_WAIT_SLACK_SHARE = 2.0
 
-        val SHORTEST_RETRY = 200.milliseconds
-        val LONGEST_RETRY = 3.seconds
+        val MIN_RETRY_AFTER = 200.milliseconds
+        val MAX_RETRY_AFTER = 3.seconds
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/JobQueue.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/JobQueue.kt
@@ -5,11 +5,11 @@
 import kotlin.time.Duration
 
 /**
- * A job whose tasks wait in an entry.
+ * A job whose tasks wait in an entry to be started.
  *
- * @property tasks indices of the tasks that wait
- * @property arrived when it arrived, on the monotonic clock
- * @property deadline when its answer is of no use any more, on the monotonic clock
+ * @property tasks indices of the waiting tasks
+ * @property arrived arrival time on the monotonic clock
+ * @property deadline time on the monotonic clock after which its answer is useless
  */
 data class QueuedJob(
     val submission: SubmissionId,
@@ -19,17 +19,17 @@
     val deadline: Duration,
 )
 
-/** The task that takes the next credit. */
-data class TaskPick(
+/** The task that a [JobQueue] selected to start next. */
+data class SelectedTask(
     val submission: SubmissionId,
     val task: Int,
 )
 
 /**
- * What waits for one service in one entry.
+ * The demand of one entry for one service, as reported to agents.
  *
- * @property tasks tasks that wait and may start within their quota
- * @property tasksLeft tasks of the best waiting job that have not ended, or 0 if none waits
+ * @property tasks waiting tasks that may start within their quota
+ * @property tasksLeft unfinished tasks of the job that is next in order, or 0 if none waits
  */
 data class QueueDemand(
     val tasks: Int,
@@ -37,38 +37,38 @@
 )
 
 /**
- * Orders the tasks that wait for one service in one entry. It has no I/O and is used from one thread at a time.
+ * Orders the tasks that wait for one service in one entry. Does no I/O and is not thread-safe.
  *
- * Each policy is one implementation.
+ * Each scheduling policy is one implementation.
  */
 interface JobQueue {
     /** Adds a job. */
     fun add(job: QueuedJob)
 
-    /** Takes the task that should start next, or null if none may start. */
-    fun take(now: Duration): TaskPick?
+    /** Removes and returns the task that should start next, or returns null if none may start. */
+    fun take(now: Duration): SelectedTask?
 
-    /** Puts a taken task back that is proved not to have started. It has no effect after [remove]. */
+    /** Requeues a taken task that is known not to have started. Has no effect after [remove]. */
     fun giveBack(
         submission: SubmissionId,
         task: Int,
     )
 
-    /** Notes that a taken task has ended. */
+    /** Records that a taken task has ended. */
     fun ended(
         submission: SubmissionId,
         task: Int,
     )
 
-    /** Removes a job and returns the indices of its tasks that were still waiting. */
+    /** Removes a job. Returns the indices of its tasks that were still waiting. */
     fun remove(submission: SubmissionId): List<Int>
 
-    /** Returns what waits. */
+    /** Returns the current demand. */
     fun demand(now: Duration): QueueDemand
 
-    /** Waiting tasks that would start before those of a new job of [tasks] tasks. */
+    /** Returns how many waiting tasks would start before those of a new job of [tasks] tasks. */
     fun tasksAhead(tasks: Int): Int = waiting
 
-    /** Tasks that wait, whether or not their quota lets them start. */
+    /** Number of waiting tasks, including those that their quota keeps from starting. */
     val waiting: Int
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/JobState.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/JobState.kt
@@ -3,28 +3,28 @@
 import kotlin.time.Duration
 
 /**
- * A job in a queue and what is left of it.
+ * A queued job and its unfinished tasks.
  *
- * @property sequence place in the order of arrival
- * @property lateAt when it has waited too long compared with its ideal response
+ * @property sequence position in the order of arrival
+ * @property lateAt time from which it has waited too long relative to its ideal response time
  */
 internal class JobState(
     val job: QueuedJob,
     val sequence: Long,
     val lateAt: Duration,
 ) {
-    /** Tasks that wait. */
+    /** Indices of the waiting tasks. */
     val waiting = ArrayDeque(job.tasks)
 
-    /** Tasks that have been taken and have not ended. */
+    /** Indices of the tasks that were taken and have not ended. */
     val running = HashSet<Int>()
 
-    /** Tasks that have not ended. */
-    var left = job.tasks.size
+    /** Number of tasks that have not ended. */
+    var tasksLeft = job.tasks.size
 
     companion object {
         val byArrival: Comparator<JobState> = compareBy { it.sequence }
-        val byTasksLeft: Comparator<JobState> = compareBy({ it.left }, { it.sequence })
+        val byTasksLeft: Comparator<JobState> = compareBy({ it.tasksLeft }, { it.sequence })
         val byLateness: Comparator<JobState> = compareBy({ it.lateAt }, { it.sequence })
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/SpreadingPool.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/LeastLoadedPool.kt
@@ -6,20 +6,20 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Spends a credit of a healthy target on which this entry has the least work, so that a job spreads over targets and zones.
+ * Spends a credit of the healthy target with the least load from this entry, so that a job spreads over targets and zones.
  *
- * The tasks on a target count by its learned slowness. A straggler gets a single task from time to time, which shows whether it
- * has recovered: the last task decides the response of a job, so the few tasks that it could run would cost more than they give.
- * Ejected targets get only trials, too.
+ * The load of a target is its number of tasks weighted by its learned slowness. A straggler only gets an occasional trial task, which
+ * shows whether it has recovered: the slowest task determines the response time of a job, so using a straggler costs more than it gains.
+ * Ejected targets only get trial tasks as well.
  */
-class SpreadingPool(
+class LeastLoadedPool(
     private val model: RunTimeModel = RunTimeModel(),
     private val health: TargetHealth = TargetHealth(),
 ) : CreditPool {
-    /** When a credit of a target was last spent, and the good trials since it became a straggler. */
+    /** When a credit of a target was last spent, and its consecutive good trials while it is a straggler. */
     private class Trials {
-        var lastSpent = -Duration.INFINITE
-        var good = 0
+        var lastSpentAt = -Duration.INFINITE
+        var goodTrials = 0
     }
 
     private val holdings = CreditHoldings { Trials() }
@@ -29,16 +29,16 @@
         zone: ZoneId,
         credits: Int,
     ) {
-        health.joined(target)
+        health.targetJoined(target)
         holdings.grant(target, zone, credits)
     }
 
     override fun spend(now: Duration): CreditedTarget? {
         val holding = choose(now) ?: return null
         holdings.spend(holding)
-        holding.state.lastSpent = now
-        health.used(holding.target)
-        return holding.view()
+        holding.state.lastSpentAt = now
+        health.taskSent(holding.target)
+        return holding.toCreditedTarget()
     }
 
     override fun ended(
@@ -49,12 +49,12 @@
     ) {
         holdings.release(target)
         if (!failed) learn(target, ran)
-        health.ended(target, failed, now)
+        health.taskEnded(target, failed, now)
     }
 
     override fun notRun(target: TargetId) {
         holdings.release(target)
-        health.unused(target)
+        health.taskNotStarted(target)
     }
 
     override fun withdraw(
@@ -64,26 +64,26 @@
 
     override fun drop(target: TargetId) {
         holdings.drop(target)
-        health.left(target)
+        health.targetLeft(target)
     }
 
     override fun unspent(): List<CreditedTarget> = holdings.unspent()
 
-    /** The usable target with the least load, and among equals the first one in the zone with the least work. */
+    /** Returns the usable target with the least load. Ties go to the zone with the fewest running tasks, then to the first target seen. */
     private fun choose(now: Duration): CreditHolding<Trials>? {
         var best: Candidate? = null
         for ((running, zones) in holdings.credited) {
-            if (best != null && best.load < leastLoad(running)) break
-            val ofZones = zones.values.mapNotNull { leastOf(it, leastLoad(running), now) }
-            best = (listOfNotNull(best) + ofZones).minWithOrNull(compareBy({ it.load }, { it.zoneRunning }, { it.holding.place }))
+            if (best != null && best.load < minLoad(running)) break
+            val bestOfZones = zones.values.mapNotNull { leastLoaded(it, minLoad(running), now) }
+            best = (listOfNotNull(best) + bestOfZones).minWithOrNull(compareBy({ it.load }, { it.zoneRunning }, { it.holding.sequence }))
         }
         return best?.holding
     }
 
-    /** The usable one of [holdings] with the least load. No load is below [bound], so the search ends there. */
-    private fun leastOf(
+    /** Returns the usable one of [holdings] with the least load. No load is below [minLoad], so the search stops once it is reached. */
+    private fun leastLoaded(
         holdings: Set<CreditHolding<Trials>>,
-        bound: Double,
+        minLoad: Double,
         now: Duration,
     ): Candidate? {
         var least: Candidate? = null
@@ -91,7 +91,7 @@
             if (!isUsable(holding, now)) continue
             val load = load(holding)
             if (least == null || load < least.load) least = Candidate(holding, load, this.holdings.running(holding.zone))
-            if (load <= bound) break
+            if (load <= minLoad) break
         }
         return least
     }
@@ -113,7 +113,7 @@
     private fun isTrialDue(
         holding: CreditHolding<Trials>,
         now: Duration,
-    ): Boolean = holding.running == 0 && now - holding.state.lastSpent >= STRAGGLER_TRIAL_PERIOD
+    ): Boolean = holding.running == 0 && now - holding.state.lastSpentAt >= STRAGGLER_TRIAL_PERIOD
 
     private fun learn(
         target: TargetId,
@@ -129,16 +129,16 @@
         trials: Trials,
         isGood: Boolean,
     ) {
-        trials.good = if (isGood) trials.good + 1 else 0
-        if (trials.good < TRIALS_TO_RECOVER) return
-        trials.good = 0
+        trials.goodTrials = if (isGood) trials.goodTrials + 1 else 0
+        if (trials.goodTrials < TRIALS_TO_RECOVER) return
+        trials.goodTrials = 0
         model.forget(target)
     }
 
-    private fun load(holding: CreditHolding<Trials>): Double = leastLoad(holding.running) * maxOf(1.0, model.slowness(holding.target))
+    private fun load(holding: CreditHolding<Trials>): Double = minLoad(holding.running) * maxOf(1.0, model.slowness(holding.target))
 
-    /** The load of a target with [running] tasks that is no slower than the mean. */
-    private fun leastLoad(running: Int): Double = running + 1.0
+    /** Returns the load with [running] tasks of a target that is no slower than the mean. */
+    private fun minLoad(running: Int): Double = running + 1.0
 
     private companion object {
         const val STRAGGLER_SLOWNESS = 2.0
--- a/placement/src/main/kotlin/io/bluebellramp/placement/LeastRunningPool.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/LeastRunningPool.kt
@@ -4,7 +4,7 @@
 import io.bluebellramp.core.ZoneId
 import kotlin.time.Duration
 
-/** Spends a credit of the target on which this entry has the fewest tasks, so that a job spreads over targets and zones. */
+/** Spends a credit of the target that runs the fewest tasks of this entry, so that a job spreads over targets and zones. */
 class LeastRunningPool : CreditPool {
     private val holdings = CreditHoldings {}
 
@@ -16,9 +16,9 @@
 
     override fun spend(now: Duration): CreditedTarget? {
         val fewest = holdings.credited.values.firstOrNull() ?: return null
-        val holding = fewest.values.map { it.first() }.minBy { it.place }
+        val holding = fewest.values.map { it.first() }.minBy { it.sequence }
         holdings.spend(holding)
-        return holding.view()
+        return holding.toCreditedTarget()
     }
 
     override fun ended(
--- a/placement/src/main/kotlin/io/bluebellramp/placement/Placement.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/Placement.kt
@@ -1,21 +1,21 @@
 package io.bluebellramp.placement
 
-/** Makes the policies that the programs use. Baselines are made by their own constructors. */
+/** Creates the policies that the programs use by default. Other policies are created by their constructors. */
 object Placement {
-    /** Returns the queue of one service in an entry. Pass the [model] that the [pool] of the same service has. */
+    /** Creates the job queue of one service in an entry. [model] should be the one passed to the [pool] of the same service. */
     fun queue(
         model: RunTimeModel = RunTimeModel(),
         quota: TeamQuota = TeamQuota.Unlimited,
         lateFactor: Double = FewestLeftQueue.LATE_FACTOR,
         lateShare: Double = FewestLeftQueue.LATE_SHARE,
-    ): JobQueue = FewestLeftQueue(ideal = model, quota = quota, lateFactor = lateFactor, lateShare = lateShare)
+    ): JobQueue = FewestLeftQueue(idealResponseTime = model, quota = quota, lateFactor = lateFactor, lateShare = lateShare)
 
-    /** Returns the credits of one service in an entry. */
+    /** Creates the credit pool of one service in an entry. */
     fun pool(
         model: RunTimeModel = RunTimeModel(),
         health: TargetHealth = TargetHealth(),
-    ): CreditPool = SpreadingPool(model = model, health = health)
+    ): CreditPool = LeastLoadedPool(model = model, health = health)
 
-    /** Returns the policy by which an agent shares its slots between the entries. */
+    /** Creates the policy by which an agent divides its slots among the entries. */
     fun grants(): GrantPolicy = BestJobGrantPolicy()
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/RetryBudget.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/RetryBudget.kt
@@ -1,26 +1,26 @@
 package io.bluebellramp.placement
 
 /**
- * Bounds the retries of idempotent requests to a share of the requests, so that retries never multiply an overload.
+ * Limits retries of idempotent requests to a share of the requests, so that retries do not amplify an overload.
  *
- * @param share retries as a share of the requests, from 0 to 1
- * @param burst retries that may come at once after a quiet time; none if [share] is 0
+ * @param share allowed retries as a share of the requests, from 0 to 1
+ * @param burst number of retries allowed at once after a period without retries; ignored if [share] is 0
  */
 class RetryBudget(
     share: Double,
-    burst: Int = BURST,
+    burst: Int = DEFAULT_BURST,
 ) {
     private val bucket = TokenBucket(share = share, capacity = if (share > 0.0) burst.toDouble() else 0.0)
 
-    /** Notes a first attempt. */
-    fun requested() = bucket.fill()
+    /** Records the first attempt of a request. */
+    fun requested() = bucket.refill()
 
-    /** Spends one retry and returns true, or returns false if none is left. */
+    /** Takes one retry from the budget. Returns false if the budget is exhausted. */
     fun tryRetry(): Boolean = bucket.trySpend()
 
-    /** Defaults. */
+    /** Default settings. */
     companion object {
-        /** Retries that may come at once. */
-        const val BURST = 10
+        /** Number of retries allowed at once. */
+        const val DEFAULT_BURST = 10
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/RunQueue.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/RunQueue.kt
@@ -5,106 +5,112 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Tasks that wait for room at one target, in a line for each queue that they came by.
+ * Tasks that wait for capacity at one target, grouped by the request queue through which they arrived.
  *
- * Answers overload: free room goes to the most urgent queues first, and among those of the same urgency to the line whose queue was given least work lately, so a kind of request that asks for more than its
- * share of the target waits for the rest and crowds nobody out. In a line the task whose latest start in time comes first goes first. A task
- * that does not fit into the free room lets smaller ones pass, so that no room stays empty.
+ * Under overload, free capacity goes to the queues with the highest priority, and among equal priorities to the queue that was served
+ * the least work recently. A queue that asks for more than its share therefore cannot starve the others. Within a queue, the task with
+ * the earliest latest start goes first. A task that does not fit into the free capacity is passed over by smaller ones, so that no
+ * capacity stays unused.
  */
 class RunQueue<T> {
     private class Item<T>(
         val task: T,
         val milliCpu: Int,
         val memoryMb: Int,
-        val work: Long,
+        val cpuMicros: Long,
         val startBy: Duration,
         val dueAt: Duration,
-        val order: Long,
+        val sequence: Long,
     )
 
-    private class Line<T> {
+    private class QueueBacklog<T> {
         var priority = 0
         val items = ArrayList<Item<T>>()
-        private var given = 0.0
-        private var givenAt = Duration.ZERO
+        private var servedCpuMicros = 0.0
+        private var servedAt = Duration.ZERO
 
-        fun given(now: Duration) = given * 0.5.pow((now - givenAt) / HALF_LIFE)
+        fun servedCpuMicros(now: Duration) = servedCpuMicros * 0.5.pow((now - servedAt) / SERVED_WORK_HALF_LIFE)
 
-        fun give(
-            work: Long,
+        fun addServed(
+            cpuMicros: Long,
             now: Duration,
         ) {
-            given = given(now) + work
-            givenAt = now
+            servedCpuMicros = servedCpuMicros(now) + cpuMicros
+            servedAt = now
         }
     }
 
-    private val lines = LinkedHashMap<String, Line<T>>()
-    private var added = 0L
+    private val backlogs = LinkedHashMap<String, QueueBacklog<T>>()
+    private var nextSequence = 0L
 
-    val size: Int get() = lines.values.sumOf { it.items.size }
+    val size: Int get() = backlogs.values.sumOf { it.items.size }
 
     /**
-     * Adds [task] of [queue], which is given back after [startBy].
+     * Adds [task] of [queue]. It expires after [startBy].
      *
-     * @param dueAt latest start with which its job ends in time; the task with the earliest goes first
-     * @param work processor need times expected run time
-     * @param priority urgency of [queue], 0 first; queues of the same one share what those before them leave
+     * @param dueAt latest start with which its job meets its objective; the earliest goes first
+     * @param cpuMicros estimated processor time (core-microseconds)
+     * @param priority priority of [queue], 0 is the highest; queues of equal priority share what higher ones leave
      */
     fun add(
         task: T,
         queue: String,
         milliCpu: Int,
         memoryMb: Int,
-        work: Long,
+        cpuMicros: Long,
         startBy: Duration,
         dueAt: Duration = startBy,
         priority: Int = 0,
     ) {
-        val item = Item(task, milliCpu, memoryMb, work, startBy, dueAt, added++)
-        val line = lines.getOrPut(queue) { Line() }
-        line.priority = priority
-        val items = line.items
-        val found = items.binarySearch(item, compareBy<Item<T>> { it.dueAt }.thenBy { it.order })
-        items.add(if (found < 0) -found - 1 else found, item)
+        val item = Item(task, milliCpu, memoryMb, cpuMicros, startBy, dueAt, nextSequence++)
+        val backlog = backlogs.getOrPut(queue) { QueueBacklog() }
+        backlog.priority = priority
+        val items = backlog.items
+        val position = items.binarySearch(item, compareBy<Item<T>> { it.dueAt }.thenBy { it.sequence })
+        items.add(if (position < 0) -position - 1 else position, item)
     }
 
-    /** Removes and returns the next task that fits, or null. Its work counts as given to its queue. */
+    /** Removes and returns the next task that fits, or null. Its processor time counts as served to its queue. */
     fun takeFitting(
         now: Duration,
         freeMilliCpu: Int,
         freeMemoryMb: Int,
     ): T? {
-        for ((_, line) in inOrder(now)) {
-            val index = line.items.indexOfFirst { it.milliCpu <= freeMilliCpu && it.memoryMb <= freeMemoryMb }
+        for ((_, backlog) in inServiceOrder(now)) {
+            val index = backlog.items.indexOfFirst { it.milliCpu <= freeMilliCpu && it.memoryMb <= freeMemoryMb }
             if (index < 0) continue
-            val item = line.items.removeAt(index)
-            line.give(item.work, now)
+            val item = backlog.items.removeAt(index)
+            backlog.addServed(item.cpuMicros, now)
             return item.task
         }
         return null
     }
 
-    /** Returns the work that waits by queue, in the order in which the queues get the next free room. */
-    fun waiting(now: Duration): List<Pair<String, Long>> = inOrder(now).map { (name, line) -> name to line.items.sumOf { it.work } }
+    /** Returns the waiting processor time by queue (core-microseconds), in the order in which the queues are served next. */
+    fun cpuMicrosByQueue(now: Duration): List<Pair<String, Long>> =
+        inServiceOrder(now).map { (name, backlog) ->
+            name to
+                backlog.items.sumOf { it.cpuMicros }
+        }
 
-    /** Removes and returns the tasks that have waited too long. */
+    /** Removes and returns the tasks whose latest start has passed. */
     fun takeExpired(now: Duration): List<T> = remove { it.startBy < now }
 
     /** Removes and returns the tasks that match [predicate]. */
     fun removeAll(predicate: (T) -> Boolean): List<T> = remove { predicate(it.task) }
 
     private fun remove(predicate: (Item<T>) -> Boolean): List<T> =
-        lines.values.flatMap { line ->
-            val removed = line.items.filter(predicate)
-            if (removed.isNotEmpty()) line.items.removeAll(removed.toSet())
+        backlogs.values.flatMap { backlog ->
+            val removed = backlog.items.filter(predicate)
+            if (removed.isNotEmpty()) backlog.items.removeAll(removed.toSet())
             removed.map { it.task }
         }
 
-    private fun inOrder(now: Duration) = lines.entries.sortedWith(compareBy({ it.value.priority }, { it.value.given(now) }))
+    private fun inServiceOrder(now: Duration) =
+        backlogs.entries.sortedWith(compareBy({ it.value.priority }, { it.value.servedCpuMicros(now) }))
 
     private companion object {
-        /** What was given counts half after this time: longer than the tasks, shorter than a change of the load. */
-        val HALF_LIFE = 2.seconds
+        /** Half-life of the served work: longer than the run time of a task, shorter than a typical change of the load. */
+        val SERVED_WORK_HALF_LIFE = 2.seconds
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TargetHealth.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TargetHealth.kt
@@ -5,83 +5,84 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Ejects targets that fail one task after another, so that a worker that fails everything does not pull in the work.
+ * Ejects targets that fail several tasks in a row. Otherwise a target that fails every task at once would always seem free and
+ * attract most of the work.
  *
- * An ejected target is tried with a single task after a back-off that doubles with each failed trial, and returns when a trial
- * succeeds. Never more than a third of the targets are ejected at once. No I/O, one thread at a time.
+ * An ejected target gets a single trial task after a back-off that doubles with each failed trial, and is restored when a trial
+ * succeeds. At most a third of the targets are ejected at once. Does no I/O and is not thread-safe.
  *
- * @param failuresToEject consecutive failures that eject a target
- * @param firstBackOff time until the first trial
- * @param longestBackOff longest time between trials
+ * @param failuresToEject number of consecutive failures after which a target is ejected
+ * @param initialBackOff time until the first trial
+ * @param maxBackOff longest time between trials
  */
 class TargetHealth(
     private val failuresToEject: Int = FAILURES_TO_EJECT,
-    private val firstBackOff: Duration = FIRST_BACK_OFF,
-    private val longestBackOff: Duration = LONGEST_BACK_OFF,
+    private val initialBackOff: Duration = INITIAL_BACK_OFF,
+    private val maxBackOff: Duration = MAX_BACK_OFF,
 ) {
     private class Record {
-        var failures = 0
+        var consecutiveFailures = 0
         var backOff = Duration.ZERO
         var ejectedUntil: Duration? = null
-        var onTrial = false
+        var isOnTrial = false
     }
 
     private val records = LinkedHashMap<TargetId, Record>()
 
-    /** Targets that are ejected. */
+    /** The ejected targets. */
     val ejected: Set<TargetId> get() = records.filterValues { it.ejectedUntil != null }.keys
 
-    /** Notes that [target] is there. */
-    fun joined(target: TargetId) {
+    /** Adds [target]. */
+    fun targetJoined(target: TargetId) {
         records.getOrPut(target) { Record() }
     }
 
-    /** Forgets that [target] was there. An ejected target stays ejected when it comes back. */
-    fun left(target: TargetId) {
+    /** Removes [target] unless it is ejected: it then stays ejected if it returns. */
+    fun targetLeft(target: TargetId) {
         val record = records[target] ?: return
-        record.onTrial = false
+        record.isOnTrial = false
         if (record.ejectedUntil == null) records.remove(target)
     }
 
-    /** Tells whether a task may go to [target] now, be it as a trial. */
+    /** Returns whether a task may be sent to [target] now, possibly as a trial. */
     fun mayUse(
         target: TargetId,
         now: Duration,
     ): Boolean {
         val record = records[target] ?: return true
-        val until = record.ejectedUntil ?: return true
-        return now >= until && !record.onTrial
+        val nextTrialAt = record.ejectedUntil ?: return true
+        return now >= nextTrialAt && !record.isOnTrial
     }
 
-    /** Notes that a task goes to [target]. */
-    fun used(target: TargetId) {
+    /** Records that a task was sent to [target]. */
+    fun taskSent(target: TargetId) {
         val record = records[target] ?: return
-        if (record.ejectedUntil != null) record.onTrial = true
+        if (record.ejectedUntil != null) record.isOnTrial = true
     }
 
-    /** Notes that the task last sent to [target] did not start, which tells nothing of its health. */
-    fun unused(target: TargetId) {
-        records[target]?.onTrial = false
+    /** Records that the last task sent to [target] did not start, which is no evidence of its health. */
+    fun taskNotStarted(target: TargetId) {
+        records[target]?.isOnTrial = false
     }
 
-    /** Notes how a task of [target] ended. */
-    fun ended(
+    /** Records how a task on [target] ended. */
+    fun taskEnded(
         target: TargetId,
         failed: Boolean,
         now: Duration,
     ) {
         val record = records[target] ?: return
         if (!failed) return restore(record)
-        record.failures++
+        record.consecutiveFailures++
         when {
-            record.ejectedUntil != null -> if (record.onTrial) eject(record, now)
-            record.failures >= failuresToEject && mayEject() -> eject(record, now)
+            record.ejectedUntil != null -> if (record.isOnTrial) eject(record, now)
+            record.consecutiveFailures >= failuresToEject && mayEject() -> eject(record, now)
         }
     }
 
     private fun restore(record: Record) {
-        record.failures = 0
-        record.onTrial = false
+        record.consecutiveFailures = 0
+        record.isOnTrial = false
         record.ejectedUntil = null
         record.backOff = Duration.ZERO
     }
@@ -90,25 +91,25 @@
         record: Record,
         now: Duration,
     ) {
-        record.onTrial = false
-        record.backOff = if (record.backOff == Duration.ZERO) firstBackOff else minOf(longestBackOff, record.backOff * 2)
+        record.isOnTrial = false
+        record.backOff = if (record.backOff == Duration.ZERO) initialBackOff else minOf(maxBackOff, record.backOff * 2)
         record.ejectedUntil = now + record.backOff
     }
 
-    private fun mayEject(): Boolean = (ejected.size + 1) * EJECTED_PART <= records.size
+    private fun mayEject(): Boolean = (ejected.size + 1) * TARGETS_PER_EJECTED_TARGET <= records.size
 
-    /** Defaults. */
+    /** Default settings. */
     companion object {
-        /** Consecutive failures that eject a target. */
+        /** Number of consecutive failures after which a target is ejected. */
         const val FAILURES_TO_EJECT = 5
 
         /** Time until the first trial. */
-        val FIRST_BACK_OFF = 1.seconds
+        val INITIAL_BACK_OFF = 1.seconds
 
         /** Longest time between trials. */
-        val LONGEST_BACK_OFF = 30.seconds
+        val MAX_BACK_OFF = 30.seconds
 
-        /** At most one in this many targets is ejected. */
-        private const val EJECTED_PART = 3
+        /** At most one in this many targets may be ejected. */
+        private const val TARGETS_PER_EJECTED_TARGET = 3
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TeamLine.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TeamBacklog.kt
@@ -3,27 +3,27 @@
 import io.bluebellramp.core.TeamId
 import java.util.TreeSet
 
-/** The waiting jobs of one team, in the order of their turn and in the order of their lateness. */
-internal class TeamLine(
+/** The waiting jobs of one team, sorted both in the order of the queue and by when they become late. */
+internal class TeamBacklog(
     val team: TeamId?,
     order: Comparator<JobState>,
 ) {
     private val jobs = TreeSet(order)
-    private val late = TreeSet(JobState.byLateness)
+    private val byLateness = TreeSet(JobState.byLateness)
 
-    /** Tasks that wait. */
+    /** Number of waiting tasks. */
     var waiting = 0
         private set
 
-    /** Tasks that have been taken and have not ended. */
+    /** Number of tasks that were taken and have not ended. */
     var running = 0
         private set
 
-    /** The job whose turn it is, or null if none waits. */
+    /** Returns the first job in the order of the queue, or null if none waits. */
     fun first(): JobState? = if (jobs.isEmpty()) null else jobs.first()
 
-    /** The job that has been late for longest or will be late soonest, or null if none waits. */
-    fun latest(): JobState? = if (late.isEmpty()) null else late.first()
+    /** Returns the job that became late first or will become late first, or null if none waits. */
+    fun firstLate(): JobState? = if (byLateness.isEmpty()) null else byLateness.first()
 
     fun add(state: JobState) {
         index(state)
@@ -51,7 +51,7 @@
 
     fun ended(state: JobState) {
         unindex(state)
-        state.left--
+        state.tasksLeft--
         if (state.waiting.isNotEmpty()) index(state)
         running--
     }
@@ -61,16 +61,16 @@
         waiting -= state.waiting.size
     }
 
-    /** Waiting jobs, in no order. */
-    fun all(): Collection<JobState> = jobs
+    /** Returns the jobs with waiting tasks. */
+    fun jobs(): Collection<JobState> = jobs
 
     private fun index(state: JobState) {
         jobs += state
-        late += state
+        byLateness += state
     }
 
     private fun unindex(state: JobState) {
         jobs -= state
-        late -= state
+        byLateness -= state
     }
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TeamQuota.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TeamQuota.kt
@@ -3,18 +3,18 @@
 import io.bluebellramp.core.TeamId
 
 /**
- * Bounds how many tasks of a team run at once.
+ * Limits the number of tasks of a team that run at once.
  *
- * A queue asks it before each start and skips the jobs of a team that has no room. Whoever dispatches the tasks counts them.
+ * A queue consults it before each start and skips the jobs of a team at its quota. The dispatcher counts the running tasks.
  */
 interface TeamQuota {
-    /** Tasks of [team] that may start now. */
+    /** Returns how many tasks of [team] may start now. */
     fun room(team: TeamId): Int
 
-    /** Tells whether another task of [team] may start now. */
+    /** Returns whether another task of [team] may start now. */
     fun mayStart(team: TeamId): Boolean = room(team) > 0
 
-    /** Sets no bound. */
+    /** No limit. */
     object Unlimited : TeamQuota {
         override fun room(team: TeamId) = Int.MAX_VALUE
     }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TokenBucket.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TokenBucket.kt
@@ -1,13 +1,13 @@
 package io.bluebellramp.placement
 
-/** Tokens that come in as a share of an event and are spent whole. */
+/** A token bucket in which each recorded event adds [share] of a token, up to [capacity]. */
 internal class TokenBucket(
     private val share: Double,
     private val capacity: Double,
 ) {
     private var tokens = capacity
 
-    fun fill() {
+    fun refill() {
         tokens = minOf(capacity, tokens + share)
     }
 
--- a/placement/src/test/kotlin/io/bluebellramp/placement/BestJobGrantPolicyTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/BestJobGrantPolicyTest.kt
@@ -14,45 +14,45 @@
     private fun standing(
         entry: EntryId,
         tasks: Int = 0,
-        left: Int = tasks,
+        tasksLeft: Int = tasks,
         unspent: Int = 0,
         recalled: Int = 0,
-    ) = EntryStanding(entry = entry, unspent = unspent, demand = QueueDemand(tasks = tasks, tasksLeft = left), recalled = recalled)
+    ) = EntryStanding(entry = entry, unspent = unspent, demand = QueueDemand(tasks = tasks, tasksLeft = tasksLeft), recalled = recalled)
 
     @Nested
     inner class `with more demand than free slots` {
         @Test
-        fun `the best waiting job gets them`() {
+        fun `the entry whose next job has the fewest unfinished tasks gets them`() {
             val decision = policy.decide(free = 2, entries = listOf(standing(a, tasks = 9), standing(b, tasks = 3), standing(c, tasks = 5)))
             assertEquals(GrantDecision(grants = mapOf(b to 2), recalls = emptyMap()), decision)
         }
 
         @Test
-        fun `what the best entry does not need goes to the next`() {
+        fun `slots that this entry does not need go to the next one`() {
             val decision = policy.decide(free = 3, entries = listOf(standing(a, tasks = 9), standing(b, tasks = 3, unspent = 1)))
             assertEquals(mapOf(a to 1, b to 2), decision.grants)
         }
     }
 
     @Nested
-    inner class `with nobody waiting` {
+    inner class `without demand` {
         @Test
-        fun `slots are granted ahead in equal parts`() {
+        fun `slots are granted ahead of demand in equal parts`() {
             val decision = policy.decide(free = 5, entries = listOf(standing(a, unspent = 1), standing(b), standing(c)))
             assertEquals(mapOf(a to 1, b to 2, c to 2), decision.grants)
         }
 
         @Test
-        fun `nothing is granted ahead if that is switched off`() {
+        fun `nothing is granted ahead of demand if that is disabled`() {
             val decision = BestJobGrantPolicy(standing = false).decide(free = 5, entries = listOf(standing(a)))
             assertEquals(emptyMap(), decision.grants)
         }
     }
 
     @Nested
-    inner class `with idle credits elsewhere` {
+    inner class `with idle credits at another entry` {
         @Test
-        fun `they are recalled for an entry that waits`() {
+        fun `they are recalled for an entry with demand`() {
             val decision =
                 policy.decide(
                     free = 0,
@@ -62,13 +62,13 @@
         }
 
         @Test
-        fun `a recall is not repeated while its answer is out`() {
+        fun `a recall is not repeated until it was answered`() {
             val decision = policy.decide(free = 0, entries = listOf(standing(a, tasks = 2), standing(b, unspent = 3, recalled = 2)))
             assertEquals(emptyMap(), decision.recalls)
         }
 
         @Test
-        fun `credits that have tasks waiting are left alone`() {
+        fun `credits needed for waiting tasks are not recalled`() {
             val decision = policy.decide(free = 0, entries = listOf(standing(a, tasks = 2), standing(b, tasks = 3, unspent = 3)))
             assertEquals(emptyMap(), decision.recalls)
         }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/BudgetsTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/BudgetsAndRunTimeModelTest.kt
@@ -10,13 +10,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class BudgetsTest {
+class BudgetsAndRunTimeModelTest {
     private val model = RunTimeModel().also { model -> repeat(100) { model.observe(TargetId("t"), 100.milliseconds) } }
 
     @Nested
     inner class `retries` {
         @Test
-        fun `stay within their share after the burst`() {
+        fun `are limited to their share after the initial burst`() {
             val budget = RetryBudget(share = 0.1, burst = 5)
             val retries =
                 (1..1000).count {
@@ -33,7 +33,7 @@
     @Nested
     inner class `hedging` {
         @Test
-        fun `is for requests that are slow for their service`() {
+        fun `is allowed only for requests that are slow for their service`() {
             val budget = HedgingBudget(share = 0.1, model = model)
             assertFalse(budget.tryHedge(ran = 50.milliseconds))
             assertTrue(budget.tryHedge(ran = 200.milliseconds))
@@ -51,15 +51,15 @@
             )
 
         @Test
-        fun `is refused only if even a favourable wait is too long`() {
+        fun `is refused only if even an optimistic wait is too long`() {
             model.slots = 8
-            for ((tasks, ahead, reachable) in cases) {
-                assertEquals(reachable, model.canMeet(tasks, ahead, remaining = 10.seconds), "$tasks tasks behind $ahead")
+            for ((tasks, tasksAhead, reachable) in cases) {
+                assertEquals(reachable, model.canMeet(tasks, tasksAhead, remaining = 10.seconds), "$tasks tasks behind $tasksAhead")
             }
         }
 
         @Test
-        fun `is not refused before anything is learned`() {
+        fun `is not refused before run times were observed`() {
             assertIs<DeadlineForecast.Reachable>(RunTimeModel().forecast(tasks = 1800, tasksAhead = 100_000, remaining = 1.milliseconds))
         }
     }
@@ -67,14 +67,14 @@
     @Nested
     inner class `learned run times` {
         @Test
-        fun `tell a straggler from its service`() {
+        fun `distinguish a straggler from its service`() {
             repeat(100) { model.observe(TargetId("slow"), 500.milliseconds) }
             assertTrue(model.slowness(TargetId("slow")) > 1.5)
             assertTrue(model.slowness(TargetId("t")) < 1.0)
         }
 
         @Test
-        fun `a quantile is right within a tenth`() {
+        fun `a quantile is accurate to a tenth`() {
             val spread = RunTimeModel()
             for (millis in 1..1000) spread.observe(TargetId("t"), millis.milliseconds)
             assertTrue(spread.quantile(0.5) in 450.milliseconds..550.milliseconds, "${spread.quantile(0.5)}")
--- a/placement/src/test/kotlin/io/bluebellramp/placement/DemandNewsTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/DemandNewsTest.kt
@@ -5,12 +5,12 @@
 import kotlin.test.assertEquals
 
 class DemandNewsTest {
-    private val news = DemandNews(coarseness = 0.2)
+    private val news = DemandNews(tolerance = 0.2)
 
     private fun demand(
         tasks: Int,
-        left: Int,
-    ) = QueueDemand(tasks = tasks, tasksLeft = left)
+        tasksLeft: Int,
+    ) = QueueDemand(tasks = tasks, tasksLeft = tasksLeft)
 
     @Nested
     inner class `a change of demand` {
@@ -26,7 +26,7 @@
             )
 
         @Test
-        fun `is news if it may change a grant`() {
+        fun `is significant if it may change a grant`() {
             for ((sent, now, expected) in cases) assertEquals(expected, news.isNews(sent, now), "$sent to $now")
         }
     }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/FewestLeftQueueTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/FewestLeftQueueTest.kt
@@ -10,14 +10,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 class FewestLeftQueueTest {
-    private val wide = SubmissionId.create(Instant.EPOCH, high = 0, low = 1)
-    private val queue = FewestLeftQueue(ideal = { 10.seconds }, lateFactor = 3.0, lateShare = 0.25)
-    private var narrow = 1L
+    private val wideJob = SubmissionId.create(Instant.EPOCH, high = 0, low = 1)
+    private val queue = FewestLeftQueue(idealResponseTime = { 10.seconds }, lateFactor = 3.0, lateShare = 0.25)
+    private var lastJobNumber = 1L
 
-    private fun addWide() =
+    private fun addWideJob() =
         queue.add(
             QueuedJob(
-                wide,
+                wideJob,
                 team = null,
                 tasks =
                     List(1000) {
@@ -28,42 +28,42 @@
             ),
         )
 
-    /** Takes [count] tasks while narrow jobs never run out, and tells how many were of the wide job. */
-    private fun takeWideAmong(
+    /** Adds a narrow job before each of [count] takes. Returns how many of the taken tasks belong to the wide job. */
+    private fun countWideJobTasks(
         count: Int,
         now: Duration,
     ): Int =
         (1..count).count {
-            narrow++
-            queue.add(QueuedJob(SubmissionId.create(Instant.EPOCH, high = 0, low = narrow), null, listOf(0), now, Duration.INFINITE))
-            queue.take(now)?.submission == wide
+            lastJobNumber++
+            queue.add(QueuedJob(SubmissionId.create(Instant.EPOCH, high = 0, low = lastJobNumber), null, listOf(0), now, Duration.INFINITE))
+            queue.take(now)?.submission == wideJob
         }
 
     @Nested
-    inner class `while narrow jobs never run out` {
+    inner class `with a constant supply of narrow jobs` {
         @Test
-        fun `a wide job that is not late waits`() {
-            addWide()
-            assertEquals(0, takeWideAmong(count = 100, now = 29.seconds))
+        fun `a wide job waits until it is late`() {
+            addWideJob()
+            assertEquals(0, countWideJobTasks(count = 100, now = 29.seconds))
         }
 
         @Test
-        fun `a late wide job gets its share of the starts and no more`() {
-            addWide()
-            assertEquals(25, takeWideAmong(count = 100, now = 30.seconds))
+        fun `a late wide job gets exactly the late share of the starts`() {
+            addWideJob()
+            assertEquals(25, countWideJobTasks(count = 100, now = 30.seconds))
         }
 
         @Test
-        fun `a late wide job whose turn it is counts as one task left`() {
-            addWide()
-            takeWideAmong(count = 100, now = 30.seconds)
-            val reports =
+        fun `a late wide job whose turn it is reports one unfinished task`() {
+            addWideJob()
+            countWideJobTasks(count = 100, now = 30.seconds)
+            val reported =
                 (1..8).map {
-                    val left = queue.demand(30.seconds).tasksLeft
+                    val tasksLeft = queue.demand(30.seconds).tasksLeft
                     queue.take(30.seconds)
-                    left
+                    tasksLeft
                 }
-            assertTrue(1 in reports)
+            assertTrue(1 in reported)
         }
     }
 }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/JobQueuePropertiesTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/JobQueuePropertiesTest.kt
@@ -16,7 +16,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** One step of a stateful run. [pick] chooses among the jobs or tasks that are there. */
+/** One operation of a generated sequence. [pick] selects an existing job or a team. */
 internal data class Step(
     val kind: Kind,
     val pick: Int,
@@ -27,11 +27,11 @@
 
 internal class JobQueuePropertiesTest {
     private val teams = listOf(TeamId("boards"), TeamId("clerks"), null)
-    private val room = mapOf(TeamId("boards") to 3, TeamId("clerks") to 0)
+    private val quotaByTeam = mapOf(TeamId("boards") to 3, TeamId("clerks") to 0)
 
     private val quota =
         object : TeamQuota {
-            override fun room(team: TeamId) = room.getValue(team)
+            override fun room(team: TeamId) = quotaByTeam.getValue(team)
         }
 
     @Provide
@@ -43,89 +43,89 @@
     }
 
     @Property(tries = 300, seed = "20261204")
-    fun `first come takes the oldest job`(
+    fun `first come first served takes the oldest job`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FirstComeQueue(quota)) { model, _ -> setOf(model.open().first()) }
+    ) = run(steps, FirstComeQueue(quota)) { reference, _ -> setOf(reference.startableJobs().first()) }
 
     @Property(tries = 300, seed = "20261204")
-    fun `fewest left takes the narrowest job, or a late one`(
+    fun `fewest tasks left takes the job with the fewest unfinished tasks or the job that became late first`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FewestLeftQueue(ideal = { it.seconds }, quota = quota, lateFactor = 2.0)) { model, now ->
-        val open = model.open()
-        setOfNotNull(open.minBy { it.left }, open.filter { it.lateAt <= now }.minByOrNull { it.lateAt })
+    ) = run(steps, FewestLeftQueue(idealResponseTime = { it.seconds }, quota = quota, lateFactor = 2.0)) { reference, now ->
+        val jobs = reference.startableJobs()
+        setOfNotNull(jobs.minBy { it.tasksLeft }, jobs.filter { it.lateAt <= now }.minByOrNull { it.lateAt })
     }
 
     @Property(tries = 300, seed = "20261204")
-    fun `fewest left without an ideal takes the narrowest job`(
+    fun `fewest tasks left without an ideal response time takes the job with the fewest unfinished tasks`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FewestLeftQueue(quota = quota)) { model, _ -> setOf(model.open().minBy { it.left }) }
+    ) = run(steps, FewestLeftQueue(quota = quota)) { reference, _ -> setOf(reference.startableJobs().minBy { it.tasksLeft }) }
 
     @Property(tries = 300, seed = "20261204")
-    fun `fair share takes a job of the team that runs the fewest tasks`(
+    fun `fair share takes a job of the team with the fewest running tasks`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FairShareQueue(quota)) { model, _ ->
-        val open = model.open()
-        val fewest = open.minOf { model.runningOf(it.team) }
-        setOf(open.filter { model.runningOf(it.team) == fewest }.minBy { it.left })
+    ) = run(steps, FairShareQueue(quota)) { reference, _ ->
+        val jobs = reference.startableJobs()
+        val fewestRunning = jobs.minOf { reference.runningTasksOf(it.team) }
+        setOf(jobs.filter { reference.runningTasksOf(it.team) == fewestRunning }.minBy { it.tasksLeft })
     }
 
     private fun run(
         steps: List<Step>,
         queue: JobQueue,
-        allowed: (QueueModel, Duration) -> Set<QueueModel.Job>,
+        allowedJobs: (ReferenceQueue, Duration) -> Set<ReferenceQueue.Job>,
     ) {
-        val model = QueueModel(room)
+        val reference = ReferenceQueue(quotaByTeam)
         var now = 0.seconds
         for (step in steps) {
             when (step.kind) {
-                Step.Kind.ADD -> add(model, queue, step, now)
-                Step.Kind.TAKE -> take(model, queue, now, allowed)
-                Step.Kind.GIVE_BACK -> settle(model, step) { id, task, job -> giveBack(queue, id, task, job) }
-                Step.Kind.END -> settle(model, step) { id, task, _ -> queue.ended(id, task) }
-                Step.Kind.REMOVE -> remove(model, queue, step)
+                Step.Kind.ADD -> add(reference, queue, step, now)
+                Step.Kind.TAKE -> take(reference, queue, now, allowedJobs)
+                Step.Kind.GIVE_BACK -> removeRunningTask(reference, step) { id, task, job -> giveBack(queue, id, task, job) }
+                Step.Kind.END -> removeRunningTask(reference, step) { id, task, _ -> queue.ended(id, task) }
+                Step.Kind.REMOVE -> remove(reference, queue, step)
                 Step.Kind.WAIT -> now += step.size.seconds
             }
-            assertEquals(model.waiting, queue.waiting, "waiting after $step")
-            assertEquals(model.startable, queue.demand(now).tasks, "demand after $step")
+            assertEquals(reference.waiting, queue.waiting, "waiting after $step")
+            assertEquals(reference.startableTasks, queue.demand(now).tasks, "demand after $step")
         }
-        drain(model, queue, now)
+        takeAllStartable(reference, queue, now)
     }
 
     private fun add(
-        model: QueueModel,
+        reference: ReferenceQueue,
         queue: JobQueue,
         step: Step,
         now: Duration,
     ) {
-        val id = SubmissionId.create(Instant.EPOCH, high = 0, low = model.jobs.size.toLong())
+        val id = SubmissionId.create(Instant.EPOCH, high = 0, low = reference.jobs.size.toLong())
         val tasks = List(step.size) { it }
         val team = teams[step.pick % teams.size]
         queue.add(QueuedJob(submission = id, team = team, tasks = tasks, arrived = now, deadline = Duration.INFINITE))
-        model.jobs += QueueModel.Job(id, team, lateAt = now + (2 * step.size).seconds, waiting = tasks.toMutableList())
+        reference.jobs += ReferenceQueue.Job(id, team, lateAt = now + (2 * step.size).seconds, waiting = tasks.toMutableList())
     }
 
     private fun take(
-        model: QueueModel,
+        reference: ReferenceQueue,
         queue: JobQueue,
         now: Duration,
-        allowed: (QueueModel, Duration) -> Set<QueueModel.Job>,
+        allowedJobs: (ReferenceQueue, Duration) -> Set<ReferenceQueue.Job>,
     ) {
         val pick = queue.take(now)
-        if (model.open().isEmpty()) return assertNull(pick)
+        if (reference.startableJobs().isEmpty()) return assertNull(pick)
         assertNotNull(pick)
-        val job = model.live(pick.submission)
+        val job = reference.find(pick.submission)
         assertNotNull(job)
-        assertTrue(job in allowed(model, now), "took $pick")
+        assertTrue(job in allowedJobs(reference, now), "took $pick")
         assertTrue(job.waiting.remove(pick.task))
         job.running += pick.task
     }
 
-    private fun settle(
-        model: QueueModel,
+    private fun removeRunningTask(
+        reference: ReferenceQueue,
         step: Step,
-        apply: (SubmissionId, Int, QueueModel.Job) -> Unit,
+        apply: (SubmissionId, Int, ReferenceQueue.Job) -> Unit,
     ) {
-        val job = model.jobs.filter { it.running.isNotEmpty() }.let { if (it.isEmpty()) return else it[step.pick % it.size] }
+        val job = reference.jobs.filter { it.running.isNotEmpty() }.let { if (it.isEmpty()) return else it[step.pick % it.size] }
         val task = job.running.first()
         job.running -= task
         apply(job.id, task, job)
@@ -135,31 +135,31 @@
         queue: JobQueue,
         id: SubmissionId,
         task: Int,
-        job: QueueModel.Job,
+        job: ReferenceQueue.Job,
     ) {
         queue.giveBack(id, task)
         if (!job.removed) job.waiting.add(0, task)
     }
 
     private fun remove(
-        model: QueueModel,
+        reference: ReferenceQueue,
         queue: JobQueue,
         step: Step,
     ) {
-        if (model.jobs.isEmpty()) return
-        val job = model.jobs[step.pick % model.jobs.size]
+        if (reference.jobs.isEmpty()) return
+        val job = reference.jobs[step.pick % reference.jobs.size]
         assertEquals(job.waiting.toList(), queue.remove(job.id))
         job.removed = true
         job.waiting.clear()
     }
 
-    private fun drain(
-        model: QueueModel,
+    private fun takeAllStartable(
+        reference: ReferenceQueue,
         queue: JobQueue,
         now: Duration,
     ) {
-        var left = model.open().sumOf { it.waiting.size }
-        while (queue.take(now) != null) left--
-        assertEquals(0, left, "tasks that could not be taken")
+        var remaining = reference.startableJobs().sumOf { it.waiting.size }
+        while (queue.take(now) != null) remaining--
+        assertEquals(0, remaining, "tasks that could not be taken")
     }
 }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/SpreadingPoolModelTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/LeastLoadedPoolReferenceTest.kt
@@ -14,22 +14,22 @@
 private const val TARGETS = 12
 private const val ZONES = 3
 
-/** Compares each choice of [SpreadingPool] with a plain search of all targets, over random histories. */
-class SpreadingPoolModelTest {
-    private class Plain(
+/** Compares each choice of [LeastLoadedPool] with an exhaustive search of all targets, over random operations. */
+class LeastLoadedPoolReferenceTest {
+    private class ReferenceTarget(
         val zone: ZoneId,
         var credits: Int = 0,
         var running: Int = 0,
     )
 
-    /** A pool and beside it plain counts. No target fails and none is a straggler, so that every credit is usable. */
-    private class History(
+    /** A pool and the expected counts. No target fails and none is a straggler, so that every credit is usable. */
+    private class RandomOperations(
         seed: Int,
     ) {
         private val random = Random(seed)
         private val model = RunTimeModel()
-        private val pool = SpreadingPool(model)
-        private val plain = LinkedHashMap<TargetId, Plain>()
+        private val pool = LeastLoadedPool(model)
+        private val reference = LinkedHashMap<TargetId, ReferenceTarget>()
         private val name = "seed $seed"
 
         fun step() {
@@ -43,7 +43,7 @@
                 else -> if (random.nextInt(10) == 0) drop(target) else notRun(target)
             }
             assertEquals(
-                plain.filterValues { it.credits > 0 }.mapValues { it.value.credits },
+                reference.filterValues { it.credits > 0 }.mapValues { it.value.credits },
                 pool.unspent().associate {
                     it.target to
                         it.credits
@@ -58,21 +58,22 @@
         ) {
             val credits = 1 + random.nextInt(3)
             pool.grant(target, zone, credits)
-            plain.getOrPut(target) { Plain(zone) }.credits += credits
+            reference.getOrPut(target) { ReferenceTarget(zone) }.credits += credits
         }
 
         private fun spend() {
-            val credited = plain.filterValues { it.credits > 0 }.keys
-            val expected = credited.minWithOrNull(compareBy({ load(it) }, { zoneRunning(it) }))
+            val targetsWithCredits = reference.filterValues { it.credits > 0 }.keys
+            val expected = targetsWithCredits.minWithOrNull(compareBy({ load(it) }, { zoneRunning(it) }))
             assertEquals(expected, pool.spend(ZERO)?.target, name)
-            val holding = plain[expected] ?: return
-            holding.credits--
-            holding.running++
+            val expectedTarget = reference[expected] ?: return
+            expectedTarget.credits--
+            expectedTarget.running++
         }
 
-        private fun load(target: TargetId) = (plain.getValue(target).running + 1) * maxOf(1.0, model.slowness(target))
+        private fun load(target: TargetId) = (reference.getValue(target).running + 1) * maxOf(1.0, model.slowness(target))
 
-        private fun zoneRunning(target: TargetId) = plain.values.filter { it.zone == plain.getValue(target).zone }.sumOf { it.running }
+        private fun zoneRunning(target: TargetId) =
+            reference.values.filter { it.zone == reference.getValue(target).zone }.sumOf { it.running }
 
         private fun end(
             target: TargetId,
@@ -88,27 +89,27 @@
         }
 
         private fun release(target: TargetId) {
-            val holding = plain[target] ?: return
-            holding.running = maxOf(0, holding.running - 1)
+            val expectedTarget = reference[target] ?: return
+            expectedTarget.running = maxOf(0, expectedTarget.running - 1)
         }
 
         private fun withdraw(target: TargetId) {
-            val holding = plain[target]
-            assertEquals(minOf(2, holding?.credits ?: 0), pool.withdraw(target, 2), name)
-            if (holding != null) holding.credits = maxOf(0, holding.credits - 2)
+            val expectedTarget = reference[target]
+            assertEquals(minOf(2, expectedTarget?.credits ?: 0), pool.withdraw(target, 2), name)
+            if (expectedTarget != null) expectedTarget.credits = maxOf(0, expectedTarget.credits - 2)
         }
 
         private fun drop(target: TargetId) {
             pool.drop(target)
-            plain.remove(target)
+            reference.remove(target)
         }
     }
 
     @Test
-    fun `each choice has the least load then the zone with the least work, then the first place`() {
+    fun `chooses by least load, then by fewest running tasks in the zone, then by order of first grant`() {
         for (seed in 1..SEEDS) {
-            val history = History(seed)
-            repeat(STEPS) { history.step() }
+            val operations = RandomOperations(seed)
+            repeat(STEPS) { operations.step() }
         }
         println("seeds 1..$SEEDS, $STEPS steps each")
     }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/SpreadingPoolTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/LeastLoadedPoolTest.kt
@@ -9,9 +9,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class SpreadingPoolTest {
+class LeastLoadedPoolTest {
     private val model = RunTimeModel()
-    private val pool = SpreadingPool(model)
+    private val pool = LeastLoadedPool(model)
     private val a = TargetId("a")
     private val b = TargetId("b")
     private val c = TargetId("c")
@@ -23,7 +23,7 @@
     @Nested
     inner class `the tasks of a job` {
         @Test
-        fun `spread over targets, then over zones`() {
+        fun `are spread over targets and zones`() {
             pool.grant(a, north, credits = 4)
             pool.grant(b, north, credits = 4)
             pool.grant(c, south, credits = 4)
@@ -49,7 +49,7 @@
         }
 
         @Test
-        fun `die with their connection`() {
+        fun `are void once their connection is lost`() {
             pool.grant(a, north, credits = 3)
             pool.drop(a)
             assertNull(pool.spend(0.seconds))
@@ -59,20 +59,20 @@
 
     @Nested
     inner class `a straggler` {
-        private fun learn() {
+        private fun makeTargetAStraggler() {
             repeat(30) { listOf(a to 1000, b to 100, c to 100).forEach { (target, millis) -> model.observe(target, millis.milliseconds) } }
             pool.grant(a, north, credits = 500)
         }
 
         @Test
         fun `gets one task at a time`() {
-            learn()
+            makeTargetAStraggler()
             assertEquals(listOf(a, null, null), listOf(0.seconds, 9.seconds, 99.seconds).map { pool.spend(it)?.target })
         }
 
         @Test
-        fun `gets work again after three good trials`() {
-            learn()
+        fun `recovers after three good trials`() {
+            makeTargetAStraggler()
             for (second in listOf(0, 10, 20)) {
                 assertEquals(listOf(a, null), List(2) { pool.spend(second.seconds)?.target })
                 pool.ended(a, ran = 100.milliseconds, failed = false, now = second.seconds)
