--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentCore.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentCore.kt
@@ -9,7 +9,7 @@
 import io.bluebellramp.messages.TargetAnnouncement
 import io.bluebellramp.messages.TargetState
 import io.bluebellramp.placement.GrantPolicy
-import io.bluebellramp.placement.Placement
+import io.bluebellramp.placement.PlacementFactory
 import io.bluebellramp.placement.QueueDemand
 
 /**
@@ -22,7 +22,7 @@
     private val hello: AgentHello,
     clock: Clock,
     options: AgentOptions = AgentOptions(),
-    policy: GrantPolicy = Placement.grants(),
+    policy: GrantPolicy = PlacementFactory.grantPolicy(),
 ) {
     private val outbox = Outbox()
     private val connections = LinkedHashMap<ConnectionId, EntryConnection>()
--- a/agent/src/main/kotlin/io/bluebellramp/agent/CreditIssuer.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/CreditIssuer.kt
@@ -4,7 +4,7 @@
 import io.bluebellramp.core.EntryId
 import io.bluebellramp.messages.AgentFrame
 import io.bluebellramp.messages.Credits
-import io.bluebellramp.placement.EntryStanding
+import io.bluebellramp.placement.EntryCreditState
 import io.bluebellramp.placement.GrantPolicy
 
 /**
@@ -61,16 +61,16 @@
         outbox: Outbox,
     ) {
         val byEntry = entries.associateBy { entryOf(it) }
-        val standings =
+        val creditStates =
             byEntry.map { (entry, connection) ->
-                EntryStanding(
+                EntryCreditState(
                     entry = entry,
                     unspent = connection.taskCredits.unspent,
                     demand = connection.demand,
                     recalled = connection.taskCredits.pendingRecall,
                 )
             }
-        val decision = policy.decide(free.coerceAtLeast(0), standings)
+        val decision = policy.decide(free.coerceAtLeast(0), creditStates)
         decision.recalls.forEach { (entry, credits) -> byEntry[entry]?.let { recall(it, credits, 0, outbox) } }
         var remaining = free
         for ((entry, credits) in decision.grants) {
--- a/agent/src/main/kotlin/io/bluebellramp/agent/EmbeddedAgent.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/EmbeddedAgent.kt
@@ -24,7 +24,7 @@
 }
 
 /** Resources that the embedded agents of one process share. */
-class EmbeddedAgents(
+class EmbeddedAgentContext(
     internal val client: HttpClient,
     internal val scope: CoroutineScope,
     internal val clock: Clock,
@@ -42,7 +42,7 @@
     hello: AgentHello,
     private val target: TargetAnnouncement,
     entries: List<Address>,
-    private val shared: EmbeddedAgents,
+    private val shared: EmbeddedAgentContext,
     private val runner: TaskRunner,
 ) {
     private val options = AgentOptions()
@@ -52,7 +52,7 @@
     private val entryConnector = EntryConnector(entries, shared.client, shared.scope, shared.metrics) { inputs.send(it) }
 
     /** Whether the permit allowed tasks to start at the last tick. */
-    val isPermitted: Boolean get() = snapshots.value.permitState == PermitState.VALID
+    val hasValidPermit: Boolean get() = snapshots.value.permitState == PermitState.VALID
 
     /** Connects to the entries and announces the target. */
     fun start() {
@@ -69,7 +69,7 @@
     }
 
     /** Refuses new work, waits up to [timeout] for running work, then closes the connections, again for up to [timeout]. */
-    suspend fun leave(timeout: Duration) {
+    suspend fun shutDown(timeout: Duration) {
         inputs.send(AgentInput.ShutdownRequested)
         withTimeoutOrNull(timeout) { snapshots.first { it.isDrained } }
         withTimeoutOrNull(timeout) { entryConnector.close() }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/AgentCoreHarness.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentCoreHarness.kt
@@ -23,7 +23,7 @@
 import io.bluebellramp.messages.TargetAnnouncement
 import io.bluebellramp.messages.TaskOutcome
 import io.bluebellramp.messages.TaskReference
-import io.bluebellramp.placement.DemandGrantPolicy
+import io.bluebellramp.placement.RoundRobinGrantPolicy
 import kotlin.time.Duration
 
 /** Feeds events to an [AgentCore] and records the actions that it returns. */
@@ -39,7 +39,7 @@
             AgentHello(AgentId("a1"), incarnation, SiteId("s1"), ZoneId("z1")),
             clock,
             AgentOptions(prefetch = 1),
-            DemandGrantPolicy(),
+            RoundRobinGrantPolicy(),
         )
     val starts = ArrayList<TaskReference>()
     val frames = ArrayList<Pair<Long, AgentFrame>>()
--- a/agent/src/test/kotlin/io/bluebellramp/agent/AgentSimulation.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentSimulation.kt
@@ -17,8 +17,8 @@
 import io.bluebellramp.messages.Permit
 import io.bluebellramp.messages.TargetAnnouncement
 import io.bluebellramp.messages.TaskReference
-import io.bluebellramp.placement.DemandGrantPolicy
-import io.bluebellramp.placement.Placement
+import io.bluebellramp.placement.PlacementFactory
+import io.bluebellramp.placement.RoundRobinGrantPolicy
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -286,7 +286,7 @@
                 hello = hello,
                 clock = clock,
                 options = AgentOptions(prefetch = random.nextInt(2)),
-                policy = if (random.nextBoolean()) Placement.grants() else DemandGrantPolicy(),
+                policy = if (random.nextBoolean()) PlacementFactory.grantPolicy() else RoundRobinGrantPolicy(),
             )
     }
 
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/StandInAgents.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/StandInAgents.kt
@@ -1,7 +1,7 @@
 package io.bluebellramp.bench.standin
 
 import io.bluebellramp.agent.EmbeddedAgent
-import io.bluebellramp.agent.EmbeddedAgents
+import io.bluebellramp.agent.EmbeddedAgentContext
 import io.bluebellramp.core.Address
 import io.bluebellramp.core.AgentId
 import io.bluebellramp.core.Clock
@@ -48,12 +48,12 @@
     /** What the targets counted. */
     val counts = StartCounts()
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
-    private val shared = EmbeddedAgents(client, scope, clock)
+    private val shared = EmbeddedAgentContext(client, scope, clock)
     private val targets = List(settings.count) { VirtualTarget(counts, settings.slots, settings.sleeps) }
     private val agents = targets.mapIndexed(::agent)
 
     /** Agents that may start tasks. */
-    val permitted: Int get() = agents.count { it.isPermitted }
+    val permitted: Int get() = agents.count { it.hasValidPermit }
 
     /** Tasks that run. */
     val running: Int get() = targets.sumOf { it.running }
@@ -71,7 +71,7 @@
 
     /** Stops all agents after the tasks that run, which may take up to [longest]. */
     suspend fun stop(longest: Duration) {
-        coroutineScope { agents.forEach { launch { it.leave(longest) } } }
+        coroutineScope { agents.forEach { launch { it.shutDown(longest) } } }
         scope.cancel()
     }
 
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditAgent.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditAgent.kt
@@ -1,7 +1,7 @@
 package io.bluebellramp.bench.trial
 
 import io.bluebellramp.core.EntryId
-import io.bluebellramp.placement.EntryStanding
+import io.bluebellramp.placement.EntryCreditState
 import io.bluebellramp.placement.GrantPolicy
 import io.bluebellramp.placement.QueueDemand
 import kotlin.time.Duration
@@ -13,18 +13,18 @@
     private val policy: GrantPolicy,
     private val entries: () -> List<CreditEntry>,
 ) {
-    private class Standing(
+    private class CreditState(
         val entry: Int,
     ) {
         var unspent = 0
         var recalled = 0
         var demand = QueueDemand(tasks = 0, tasksLeft = 0)
 
-        fun view() = EntryStanding(entry = EntryId("$entry"), unspent = unspent, demand = demand, recalled = recalled)
+        fun view() = EntryCreditState(entry = EntryId("$entry"), unspent = unspent, demand = demand, recalled = recalled)
     }
 
     private val executor = world.executors[index]
-    private val standings = List(world.settings.entries) { Standing(it) }
+    private val creditStates = List(world.settings.entries) { CreditState(it) }
     private val queued = ArrayDeque<TrialTask>()
     private var inService = true
     private val outbox =
@@ -40,11 +40,11 @@
         entry: Int,
         frame: ToAgent,
     ) {
-        val standing = standings[entry]
-        frame.demand?.let { standing.demand = it }
-        frame.dispatches.forEach { accept(standing, it) }
-        standing.unspent -= frame.returned
-        standing.recalled = maxOf(0, standing.recalled - frame.answered)
+        val creditState = creditStates[entry]
+        frame.demand?.let { creditState.demand = it }
+        frame.dispatches.forEach { accept(creditState, it) }
+        creditState.unspent -= frame.returned
+        creditState.recalled = maxOf(0, creditState.recalled - frame.answered)
         startQueued()
         grant()
     }
@@ -52,17 +52,17 @@
     /** Grants what is free. */
     fun grant() {
         if (!inService) return
-        val used = executor.running + queued.size + standings.sumOf { it.unspent }
-        val decision = policy.decide(executor.slots + world.settings.tuning.prefetch - used, standings.map { it.view() })
-        decision.grants.forEach { (entry, credits) -> grant(standings[entry.value.toInt()], credits) }
-        decision.recalls.forEach { (entry, credits) -> recall(standings[entry.value.toInt()], credits) }
+        val used = executor.running + queued.size + creditStates.sumOf { it.unspent }
+        val decision = policy.decide(executor.slots + world.settings.tuning.prefetch - used, creditStates.map { it.view() })
+        decision.grants.forEach { (entry, credits) -> grant(creditStates[entry.value.toInt()], credits) }
+        decision.recalls.forEach { (entry, credits) -> recall(creditStates[entry.value.toInt()], credits) }
     }
 
     /** Stops to start tasks, or starts again. */
     fun setInService(value: Boolean) {
         inService = value
         if (value) return grant()
-        standings.forEach {
+        creditStates.forEach {
             it.unspent = 0
             it.recalled = 0
             outbox.to(it.entry).dropped = true
@@ -72,12 +72,12 @@
     }
 
     private fun accept(
-        standing: Standing,
+        creditState: CreditState,
         task: TrialTask,
     ) {
-        if (!inService || standing.unspent == 0) return refuse(task)
-        standing.unspent--
-        standing.recalled = minOf(standing.recalled, standing.unspent)
+        if (!inService || creditState.unspent == 0) return refuse(task)
+        creditState.unspent--
+        creditState.recalled = minOf(creditState.recalled, creditState.unspent)
         queued += task
     }
 
@@ -103,18 +103,18 @@
     }
 
     private fun grant(
-        standing: Standing,
+        creditState: CreditState,
         credits: Int,
     ) {
-        standing.unspent += credits
-        outbox.to(standing.entry).granted += credits
+        creditState.unspent += credits
+        outbox.to(creditState.entry).granted += credits
     }
 
     private fun recall(
-        standing: Standing,
+        creditState: CreditState,
         credits: Int,
     ) {
-        standing.recalled += credits
-        outbox.to(standing.entry).recalled += credits
+        creditState.recalled += credits
+        outbox.to(creditState.entry).recalled += credits
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditEntry.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditEntry.kt
@@ -4,7 +4,7 @@
 import io.bluebellramp.core.TargetId
 import io.bluebellramp.core.ZoneId
 import io.bluebellramp.placement.CreditPool
-import io.bluebellramp.placement.DemandNews
+import io.bluebellramp.placement.DemandChangeFilter
 import io.bluebellramp.placement.JobQueue
 import io.bluebellramp.placement.QueueDemand
 import io.bluebellramp.placement.QueuedJob
@@ -21,7 +21,7 @@
     private val time = world.time
     private val jobs = HashMap<SubmissionId, TrialJob>()
     private val known = HashMap<Int, QueueDemand>()
-    private val news = DemandNews()
+    private val changeFilter = DemandChangeFilter()
     private val nothing = QueueDemand(tasks = 0, tasksLeft = 0)
     private val outbox =
         FrameOutbox(
@@ -37,7 +37,7 @@
         val tasks =
             job.plan.tasks.indices
                 .toList()
-        queue.add(QueuedJob(submission = job.submission, team = null, tasks = tasks, arrived = time.now, deadline = Duration.INFINITE))
+        queue.add(QueuedJob(submission = job.submission, team = null, tasks = tasks, arrivedAt = time.now, deadline = Duration.INFINITE))
         dispatch()
         tellIdleAgents()
     }
@@ -53,7 +53,7 @@
         frame: ToEntry,
     ) {
         frame.outcomes.forEach { ended(agent, it) }
-        if (frame.dropped) pool.drop(target(agent))
+        if (frame.dropped) pool.removeTarget(target(agent))
         if (frame.granted > 0) pool.grant(target(agent), ZoneId("${world.site.zoneOf(agent)}"), frame.granted)
         dispatch()
         if (frame.recalled > 0) answerRecall(agent, frame.recalled)
@@ -62,7 +62,7 @@
     /** Reports demand to the agents that know another. */
     fun tellAgents() {
         val demand = queue.demand(time.now)
-        agents().filter { news.isNews(known[it.index], demand) }.forEach { outbox.to(it.index) }
+        agents().filter { changeFilter.isSignificant(known[it.index], demand) }.forEach { outbox.to(it.index) }
     }
 
     private fun tellIdleAgents() {
@@ -84,11 +84,11 @@
     ) {
         val job = outcome.task.job
         if (outcome.notRun) {
-            pool.notRun(target(agent))
-            return queue.giveBack(job.submission, outcome.task.index)
+            pool.taskNotStarted(target(agent))
+            return queue.requeue(job.submission, outcome.task.index)
         }
-        pool.ended(target(agent), outcome.ran, outcome.failed, time.now)
-        queue.ended(job.submission, outcome.task.index)
+        pool.taskEnded(target(agent), outcome.ran, outcome.failed, time.now)
+        queue.taskEnded(job.submission, outcome.task.index)
         if (!world.taskEnded(job, outcome.failed)) return
         queue.remove(job.submission)
         jobs.remove(job.submission)
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialCommand.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.bench.BenchCommand
 import io.bluebellramp.bench.ReportJson
 import io.bluebellramp.bench.UsageException
-import io.bluebellramp.placement.FewestLeftQueue
+import io.bluebellramp.placement.FewestTasksLeftQueue
 import io.bluebellramp.runtime.ExitCode
 import kotlinx.cli.ArgType
 import kotlinx.cli.default
@@ -34,9 +34,9 @@
     private val newsMillis by option(ArgType.Int, "news-millis", description = "Time between reports of demand (ms)").default(20)
     private val lateFactor by
         option(ArgType.Double, "late-factor", description = "Multiple of the ideal response after which a job is late")
-            .default(FewestLeftQueue.LATE_FACTOR)
+            .default(FewestTasksLeftQueue.LATE_FACTOR)
     private val lateShare by
-        option(ArgType.Double, "late-share", description = "Share of the starts for late jobs").default(FewestLeftQueue.LATE_SHARE)
+        option(ArgType.Double, "late-share", description = "Share of the starts for late jobs").default(FewestTasksLeftQueue.LATE_SHARE)
     private val out by option(ArgType.String, "out", description = "File for the report (JSON)")
     private val compare by option(ArgType.String, "compare", description = "Report to compare with the one named after it; runs nothing")
     private val other by argument(ArgType.String, description = "The later report of --compare").optional()
--- a/bench/src/test/kotlin/io/bluebellramp/bench/trial/TrialRunTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/trial/TrialRunTest.kt
@@ -1,6 +1,6 @@
 package io.bluebellramp.bench.trial
 
-import io.bluebellramp.placement.FewestLeftQueue
+import io.bluebellramp.placement.FewestTasksLeftQueue
 import org.junit.jupiter.api.Nested
 import kotlin.test.Test
 import kotlin.test.assertEquals
@@ -23,8 +23,8 @@
             TrialTuning(
                 prefetch = 0,
                 newsPeriod = 20.milliseconds,
-                lateFactor = FewestLeftQueue.LATE_FACTOR,
-                lateShare = FewestLeftQueue.LATE_SHARE,
+                lateFactor = FewestTasksLeftQueue.LATE_FACTOR,
+                lateShare = FewestTasksLeftQueue.LATE_SHARE,
             ),
     )
 
--- a/entry/src/main/kotlin/io/bluebellramp/entry/AgentDirectory.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/AgentDirectory.kt
@@ -10,7 +10,7 @@
 import io.bluebellramp.messages.EntryFrame
 import io.bluebellramp.messages.EntryHello
 import io.bluebellramp.messages.Permit
-import io.bluebellramp.placement.DemandNews
+import io.bluebellramp.placement.DemandChangeFilter
 import io.bluebellramp.placement.QueueDemand
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -36,7 +36,7 @@
     private val sessions = HashMap<AgentId, AgentSession>()
     private val sessionsByLink = HashMap<LinkId, AgentSession>()
     private val permits = IssuedPermits()
-    private val demandNews = DemandNews()
+    private val demandChangeFilter = DemandChangeFilter()
     lateinit var listener: AgentListener
 
     /** Returns the demand for a service, which is sent to its agents. */
@@ -144,7 +144,8 @@
         latest: Demand,
     ): Boolean {
         val sent = session.lastSentDemand
-        return demandNews.isNews(sent?.queueDemand(), latest.queueDemand()) || ((sent?.requests ?: 0) == 0) != (latest.requests == 0)
+        return demandChangeFilter.isSignificant(sent?.queueDemand(), latest.queueDemand()) ||
+            ((sent?.requests ?: 0) == 0) != (latest.requests == 0)
     }
 
     private fun Demand.queueDemand() = QueueDemand(tasks = tasks, tasksLeft = tasksLeft)
--- a/entry/src/main/kotlin/io/bluebellramp/entry/AttemptTracker.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/AttemptTracker.kt
@@ -55,11 +55,11 @@
         when (outcome.status) {
             TaskStatus.NOT_RUN -> {
                 counters.countWasted(WastedMessage.REFUSAL)
-                pool.notRun(attempt.target)
+                pool.taskNotStarted(attempt.target)
             }
 
             else -> {
-                pool.ended(
+                pool.taskEnded(
                     target = attempt.target,
                     ran = outcome.ranMicros.microseconds,
                     failed = outcome.status != TaskStatus.DONE,
@@ -167,6 +167,6 @@
     services: ServiceTable,
     teams: TeamUsage,
 ) {
-    services.queueFor(submission).jobs.ended(submission.id, task)
+    services.queueFor(submission).jobs.taskEnded(submission.id, task)
     teams.adjust(submission, running = -1)
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/Dispatcher.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/Dispatcher.kt
@@ -27,11 +27,11 @@
                 tasks =
                     submission.spec.tasks.indices
                         .toList(),
-                arrived = submission.arrived,
+                arrivedAt = submission.arrived,
                 deadline = submission.deadline,
             ),
         )
-        if (submission.spec.idempotent) repeat(submission.size) { services.retryBudget(submission).requested() }
+        if (submission.spec.idempotent) repeat(submission.size) { services.retryBudget(submission).onFirstAttempt() }
         placeTasks(submission.spec.service)
         if (services.queueFor(submission).jobs.waiting > 0) agents.flushLinksWithoutDemand(submission.spec.service)
     }
@@ -61,7 +61,7 @@
             attempt.submission.outstandingAttempts.remove(attempt.task)
             attempt.release(services, teams)
             val pool = services.queueFor(attempt.submission).pool
-            pool.notRun(attempt.target)
+            pool.taskNotStarted(attempt.target)
             pool.grant(target = attempt.target, zone = session.zone, credits = 1)
             return
         }
@@ -82,7 +82,7 @@
     ) {
         submission.attemptNumbers[task]++
         teams.adjust(submission, waiting = 1, running = -1)
-        services.queueFor(submission).jobs.giveBack(submission.id, task)
+        services.queueFor(submission).jobs.requeue(submission.id, task)
         placeTasks(submission.spec.service)
     }
 
@@ -118,13 +118,13 @@
         val creditedTarget = queue.pool.spend(services.now) ?: return false
         val session = agents.sessionOfTarget(creditedTarget.target)
         if (session == null) {
-            queue.pool.drop(creditedTarget.target)
+            queue.pool.removeTarget(creditedTarget.target)
             return true
         }
         val nextTask = queue.jobs.take(services.now)
         val submission = nextTask?.let { openSubmissions[it.submission] }
         if (nextTask == null || submission == null) {
-            queue.pool.notRun(creditedTarget.target)
+            queue.pool.taskNotStarted(creditedTarget.target)
             queue.pool.grant(target = creditedTarget.target, zone = creditedTarget.zone, credits = 1)
             return false
         }
@@ -169,7 +169,7 @@
     /** Discards the credits of [session], for example because its target is gone. */
     fun dropCredits(session: AgentSession) {
         val target = session.target ?: return
-        services.existingQueues(target.service)?.all?.forEach { it.pool.drop(target.target) }
+        services.existingQueues(target.service)?.all?.forEach { it.pool.removeTarget(target.target) }
     }
 
     /** Adds credits granted by [session]. They are returned at once if its zone or target is out of service. */
--- a/entry/src/main/kotlin/io/bluebellramp/entry/PlacementPolicies.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/PlacementPolicies.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.placement.CreditPool
 import io.bluebellramp.placement.JobQueue
-import io.bluebellramp.placement.Placement
+import io.bluebellramp.placement.PlacementFactory
 import io.bluebellramp.placement.RunTimeModel
 import io.bluebellramp.placement.TeamQuota
 
@@ -18,12 +18,12 @@
     fun pool(model: RunTimeModel): CreditPool
 }
 
-/** The default policies of [Placement]. */
+/** The default policies of [PlacementFactory]. */
 internal object DefaultPlacementPolicies : PlacementPolicies {
     override fun queue(
         model: RunTimeModel,
         quota: TeamQuota,
-    ) = Placement.queue(model = model, quota = quota)
+    ) = PlacementFactory.queue(model = model, quota = quota)
 
-    override fun pool(model: RunTimeModel) = Placement.pool(model = model)
+    override fun pool(model: RunTimeModel) = PlacementFactory.pool(model = model)
 }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/TeamUsage.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/TeamUsage.kt
@@ -17,7 +17,7 @@
     /** Number of waiting tasks of [team]. */
     fun waiting(team: TeamId): Int = counts[team]?.waiting ?: 0
 
-    override fun room(team: TeamId): Int {
+    override fun remaining(team: TeamId): Int {
         val limit = lease.team(team)?.runningTasks ?: return Int.MAX_VALUE
         val share = (limit + lease.liveEntries - 1) / lease.liveEntries
         return share - (counts[team]?.running ?: 0)
--- a/placement/src/main/kotlin/io/bluebellramp/placement/CreditHoldings.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/CreditHoldings.kt
@@ -79,7 +79,7 @@
     }
 
     /** Removes [target] with its credits and running tasks. */
-    fun drop(target: TargetId) {
+    fun removeTarget(target: TargetId) {
         val holding = holdings.remove(target) ?: return
         adjust(holding, credits = -holding.credits, running = -holding.running)
     }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/CreditPool.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/CreditPool.kt
@@ -15,7 +15,7 @@
 /**
  * The credits that one entry holds for one service; dispatching a task spends one credit. Does no I/O and is not thread-safe.
  *
- * The credits of a target are void once its connection closes or the target leaves: call [drop] then.
+ * The credits of a target are void once its connection closes or the target leaves: call [removeTarget] then.
  */
 interface CreditPool {
     /** Adds credits granted by the agent of [target]. */
@@ -29,7 +29,7 @@
     fun spend(now: Duration): CreditedTarget?
 
     /** Records that a task on [target] ended after running for [ran]. [failed] is true if the task failed on the target. */
-    fun ended(
+    fun taskEnded(
         target: TargetId,
         ran: Duration,
         failed: Boolean,
@@ -37,7 +37,7 @@
     )
 
     /** Records that a task dispatched to [target] is known not to have started. */
-    fun notRun(target: TargetId)
+    fun taskNotStarted(target: TargetId)
 
     /** Removes up to [credits] unspent credits of [target], to be returned to its agent. Returns the number removed. */
     fun withdraw(
@@ -46,7 +46,7 @@
     ): Int
 
     /** Discards all credits of [target]. */
-    fun drop(target: TargetId)
+    fun removeTarget(target: TargetId)
 
     /** Returns the targets with unspent credits. */
     fun unspent(): List<CreditedTarget>
--- a/placement/src/main/kotlin/io/bluebellramp/placement/DemandNews.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/DemandChangeFilter.kt
@@ -10,11 +10,11 @@
  *
  * @param tolerance relative change of the unfinished tasks that is not significant
  */
-class DemandNews(
+class DemandChangeFilter(
     private val tolerance: Double = RELATIVE_TOLERANCE,
 ) {
     /** Returns whether [now] differs significantly from [sent], the demand last reported to the agent, or null if none was. */
-    fun isNews(
+    fun isSignificant(
         sent: QueueDemand?,
         now: QueueDemand,
     ): Boolean {
--- a/placement/src/main/kotlin/io/bluebellramp/placement/FewestLeftQueue.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/FewestTasksLeftQueue.kt
@@ -18,7 +18,7 @@
  * @param lateFactor multiple of the ideal response time after which a job is late
  * @param lateShare share of the starts reserved for late jobs, from 0 to 1
  */
-class FewestLeftQueue(
+class FewestTasksLeftQueue(
     private val idealResponseTime: IdealResponseTime = IdealResponseTime { Duration.INFINITE },
     quota: TeamQuota = TeamQuota.Unlimited,
     private val lateFactor: Double = LATE_FACTOR,
@@ -26,7 +26,7 @@
 ) : TeamJobQueue(order = JobState.byTasksLeft, quota = quota) {
     private var accruedLateTurns = 0.0
 
-    override fun lateAt(job: QueuedJob): Duration = job.arrived + idealResponseTime.ofJob(job.tasks.size) * lateFactor
+    override fun lateAt(job: QueuedJob): Duration = job.arrivedAt + idealResponseTime.ofJob(job.tasks.size) * lateFactor
 
     override fun nextJob(now: Duration): JobState? {
         val teams = startableTeams()
--- a/placement/src/main/kotlin/io/bluebellramp/placement/GrantPolicy.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/GrantPolicy.kt
@@ -9,7 +9,7 @@
  * @property demand demand last reported by the entry
  * @property recalled number of unspent credits that were recalled and not returned yet
  */
-data class EntryStanding(
+data class EntryCreditState(
     val entry: EntryId,
     val unspent: Int,
     val demand: QueueDemand,
@@ -36,6 +36,6 @@
      */
     fun decide(
         free: Int,
-        entries: List<EntryStanding>,
+        entries: List<EntryCreditState>,
     ): GrantDecision
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/JobQueue.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/JobQueue.kt
@@ -8,14 +8,14 @@
  * A job whose tasks wait in an entry to be started.
  *
  * @property tasks indices of the waiting tasks
- * @property arrived arrival time on the monotonic clock
+ * @property arrivedAt arrival time on the monotonic clock
  * @property deadline time on the monotonic clock after which its answer is useless
  */
 data class QueuedJob(
     val submission: SubmissionId,
     val team: TeamId?,
     val tasks: List<Int>,
-    val arrived: Duration,
+    val arrivedAt: Duration,
     val deadline: Duration,
 )
 
@@ -49,13 +49,13 @@
     fun take(now: Duration): SelectedTask?
 
     /** Requeues a taken task that is known not to have started. Has no effect after [remove]. */
-    fun giveBack(
+    fun requeue(
         submission: SubmissionId,
         task: Int,
     )
 
     /** Records that a taken task has ended. */
-    fun ended(
+    fun taskEnded(
         submission: SubmissionId,
         task: Int,
     )
--- a/placement/src/main/kotlin/io/bluebellramp/placement/LeastLoadedPool.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/LeastLoadedPool.kt
@@ -41,7 +41,7 @@
         return holding.toCreditedTarget()
     }
 
-    override fun ended(
+    override fun taskEnded(
         target: TargetId,
         ran: Duration,
         failed: Boolean,
@@ -52,7 +52,7 @@
         health.taskEnded(target, failed, now)
     }
 
-    override fun notRun(target: TargetId) {
+    override fun taskNotStarted(target: TargetId) {
         holdings.release(target)
         health.taskNotStarted(target)
     }
@@ -62,8 +62,8 @@
         credits: Int,
     ): Int = holdings.withdraw(target, credits)
 
-    override fun drop(target: TargetId) {
-        holdings.drop(target)
+    override fun removeTarget(target: TargetId) {
+        holdings.removeTarget(target)
         health.targetLeft(target)
     }
 
--- a/placement/src/main/kotlin/io/bluebellramp/placement/LeastRunningPool.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/LeastRunningPool.kt
@@ -21,21 +21,21 @@
         return holding.toCreditedTarget()
     }
 
-    override fun ended(
+    override fun taskEnded(
         target: TargetId,
         ran: Duration,
         failed: Boolean,
         now: Duration,
-    ) = notRun(target)
+    ) = taskNotStarted(target)
 
-    override fun notRun(target: TargetId) = holdings.release(target)
+    override fun taskNotStarted(target: TargetId) = holdings.release(target)
 
     override fun withdraw(
         target: TargetId,
         credits: Int,
     ): Int = holdings.withdraw(target, credits)
 
-    override fun drop(target: TargetId) = holdings.drop(target)
+    override fun removeTarget(target: TargetId) = holdings.removeTarget(target)
 
     override fun unspent(): List<CreditedTarget> = holdings.unspent()
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/Placement.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/PlacementFactory.kt
@@ -1,14 +1,14 @@
 package io.bluebellramp.placement
 
 /** Creates the policies that the programs use by default. Other policies are created by their constructors. */
-object Placement {
+object PlacementFactory {
     /** Creates the job queue of one service in an entry. [model] should be the one passed to the [pool] of the same service. */
     fun queue(
         model: RunTimeModel = RunTimeModel(),
         quota: TeamQuota = TeamQuota.Unlimited,
-        lateFactor: Double = FewestLeftQueue.LATE_FACTOR,
-        lateShare: Double = FewestLeftQueue.LATE_SHARE,
-    ): JobQueue = FewestLeftQueue(idealResponseTime = model, quota = quota, lateFactor = lateFactor, lateShare = lateShare)
+        lateFactor: Double = FewestTasksLeftQueue.LATE_FACTOR,
+        lateShare: Double = FewestTasksLeftQueue.LATE_SHARE,
+    ): JobQueue = FewestTasksLeftQueue(idealResponseTime = model, quota = quota, lateFactor = lateFactor, lateShare = lateShare)
 
     /** Creates the credit pool of one service in an entry. */
     fun pool(
@@ -17,5 +17,5 @@
     ): CreditPool = LeastLoadedPool(model = model, health = health)
 
     /** Creates the policy by which an agent divides its slots among the entries. */
-    fun grants(): GrantPolicy = BestJobGrantPolicy()
+    fun grantPolicy(): GrantPolicy = FewestTasksLeftGrantPolicy()
 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/RetryBudget.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/RetryBudget.kt
@@ -13,7 +13,7 @@
     private val bucket = TokenBucket(share = share, capacity = if (share > 0.0) burst.toDouble() else 0.0)
 
     /** Records the first attempt of a request. */
-    fun requested() = bucket.refill()
+    fun onFirstAttempt() = bucket.refill()
 
     /** Takes one retry from the budget. Returns false if the budget is exhausted. */
     fun tryRetry(): Boolean = bucket.trySpend()
--- a/placement/src/main/kotlin/io/bluebellramp/placement/DemandGrantPolicy.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/RoundRobinGrantPolicy.kt
@@ -3,20 +3,20 @@
 import io.bluebellramp.core.EntryId
 
 /** Grants free slots round-robin to the entries that have more waiting tasks than unspent credits. */
-class DemandGrantPolicy : GrantPolicy {
+class RoundRobinGrantPolicy : GrantPolicy {
     override fun decide(
         free: Int,
-        entries: List<EntryStanding>,
+        entries: List<EntryCreditState>,
     ): GrantDecision {
         val grants = HashMap<EntryId, Int>()
         var remaining = free
         var hasGranted = true
         while (remaining > 0 && hasGranted) {
             hasGranted = false
-            for (standing in entries) {
-                val held = standing.unspent + (grants[standing.entry] ?: 0)
-                if (remaining > 0 && held < standing.demand.tasks) {
-                    grants.merge(standing.entry, 1, Int::plus)
+            for (creditState in entries) {
+                val held = creditState.unspent + (grants[creditState.entry] ?: 0)
+                if (remaining > 0 && held < creditState.demand.tasks) {
+                    grants.merge(creditState.entry, 1, Int::plus)
                     remaining--
                     hasGranted = true
                 }
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TeamBacklog.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TeamBacklog.kt
@@ -39,7 +39,7 @@
         return task
     }
 
-    fun giveBack(
+    fun requeue(
         state: JobState,
         task: Int,
     ) {
@@ -49,7 +49,7 @@
         running--
     }
 
-    fun ended(state: JobState) {
+    fun taskEnded(state: JobState) {
         unindex(state)
         state.tasksLeft--
         if (state.waiting.isNotEmpty()) index(state)
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TeamJobQueue.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TeamJobQueue.kt
@@ -52,21 +52,21 @@
         return SelectedTask(submission = state.job.submission, task = backlog(state).take(state))
     }
 
-    final override fun giveBack(
+    final override fun requeue(
         submission: SubmissionId,
         task: Int,
     ) {
         val state = jobs[submission] ?: return endTaskOfRemovedJob(submission, task)
-        if (state.running.remove(task)) backlog(state).giveBack(state, task)
+        if (state.running.remove(task)) backlog(state).requeue(state, task)
     }
 
-    final override fun ended(
+    final override fun taskEnded(
         submission: SubmissionId,
         task: Int,
     ) {
         val state = jobs[submission] ?: return endTaskOfRemovedJob(submission, task)
         if (!state.running.remove(task)) return
-        backlog(state).ended(state)
+        backlog(state).taskEnded(state)
         if (state.tasksLeft == 0) removeFrom(jobs, state)
     }
 
@@ -104,7 +104,7 @@
     /** Returns the teams that have waiting tasks and are below their quota. */
     internal fun startableTeams(): List<TeamBacklog> = backlogs.values.filter { it.waiting > 0 && remainingQuota(it.team) > 0 }
 
-    private fun remainingQuota(team: TeamId?): Int = if (team == null) Int.MAX_VALUE else quota.room(team)
+    private fun remainingQuota(team: TeamId?): Int = if (team == null) Int.MAX_VALUE else quota.remaining(team)
 
     private fun backlog(state: JobState) = backlogs.getValue(state.job.team)
 
@@ -114,7 +114,7 @@
     ) {
         val state = removedJobs[submission] ?: return
         if (!state.running.remove(task)) return
-        backlog(state).ended(state)
+        backlog(state).taskEnded(state)
         if (state.tasksLeft == 0) removeFrom(removedJobs, state)
     }
 
--- a/placement/src/main/kotlin/io/bluebellramp/placement/TeamQuota.kt
+++ b/placement/src/main/kotlin/io/bluebellramp/placement/TeamQuota.kt
@@ -9,13 +9,13 @@
  */
 interface TeamQuota {
     /** Returns how many tasks of [team] may start now. */
-    fun room(team: TeamId): Int
+    fun remaining(team: TeamId): Int
 
     /** Returns whether another task of [team] may start now. */
-    fun mayStart(team: TeamId): Boolean = room(team) > 0
+    fun mayStart(team: TeamId): Boolean = remaining(team) > 0
 
     /** No limit. */
     object Unlimited : TeamQuota {
-        override fun room(team: TeamId) = Int.MAX_VALUE
+        override fun remaining(team: TeamId) = Int.MAX_VALUE
     }
 }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/BudgetsAndRunTimeModelTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/BudgetsAndRunTimeModelTest.kt
@@ -20,7 +20,7 @@
             val budget = RetryBudget(share = 0.1, burst = 5)
             val retries =
                 (1..1000).count {
-                    budget.requested()
+                    budget.onFirstAttempt()
                     budget.tryRetry()
                 }
             assertTrue(retries in 104..105, "$retries")
--- a/placement/src/test/kotlin/io/bluebellramp/placement/DemandNewsTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/DemandChangeFilterTest.kt
@@ -4,8 +4,8 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-class DemandNewsTest {
-    private val news = DemandNews(tolerance = 0.2)
+class DemandChangeFilterTest {
+    private val changeFilter = DemandChangeFilter(tolerance = 0.2)
 
     private fun demand(
         tasks: Int,
@@ -27,7 +27,7 @@
 
         @Test
         fun `is significant if it may change a grant`() {
-            for ((sent, now, expected) in cases) assertEquals(expected, news.isNews(sent, now), "$sent to $now")
+            for ((sent, now, expected) in cases) assertEquals(expected, changeFilter.isSignificant(sent, now), "$sent to $now")
         }
     }
 }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/FewestLeftQueueTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/FewestTasksLeftQueueTest.kt
@@ -9,9 +9,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-class FewestLeftQueueTest {
+class FewestTasksLeftQueueTest {
     private val wideJob = SubmissionId.create(Instant.EPOCH, high = 0, low = 1)
-    private val queue = FewestLeftQueue(idealResponseTime = { 10.seconds }, lateFactor = 3.0, lateShare = 0.25)
+    private val queue = FewestTasksLeftQueue(idealResponseTime = { 10.seconds }, lateFactor = 3.0, lateShare = 0.25)
     private var lastJobNumber = 1L
 
     private fun addWideJob() =
@@ -23,7 +23,7 @@
                     List(1000) {
                         it
                     },
-                arrived = 0.seconds,
+                arrivedAt = 0.seconds,
                 deadline = Duration.INFINITE,
             ),
         )
--- a/placement/src/test/kotlin/io/bluebellramp/placement/JobQueuePropertiesTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/JobQueuePropertiesTest.kt
@@ -22,7 +22,7 @@
     val pick: Int,
     val size: Int,
 ) {
-    enum class Kind { ADD, TAKE, GIVE_BACK, END, REMOVE, WAIT }
+    enum class Kind { ADD, TAKE, REQUEUE, END, REMOVE, WAIT }
 }
 
 internal class JobQueuePropertiesTest {
@@ -31,7 +31,7 @@
 
     private val quota =
         object : TeamQuota {
-            override fun room(team: TeamId) = quotaByTeam.getValue(team)
+            override fun remaining(team: TeamId) = quotaByTeam.getValue(team)
         }
 
     @Provide
@@ -45,12 +45,12 @@
     @Property(tries = 300, seed = "20261204")
     fun `first come first served takes the oldest job`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FirstComeQueue(quota)) { reference, _ -> setOf(reference.startableJobs().first()) }
+    ) = run(steps, FirstComeFirstServedQueue(quota)) { reference, _ -> setOf(reference.startableJobs().first()) }
 
     @Property(tries = 300, seed = "20261204")
     fun `fewest tasks left takes the job with the fewest unfinished tasks or the job that became late first`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FewestLeftQueue(idealResponseTime = { it.seconds }, quota = quota, lateFactor = 2.0)) { reference, now ->
+    ) = run(steps, FewestTasksLeftQueue(idealResponseTime = { it.seconds }, quota = quota, lateFactor = 2.0)) { reference, now ->
         val jobs = reference.startableJobs()
         setOfNotNull(jobs.minBy { it.tasksLeft }, jobs.filter { it.lateAt <= now }.minByOrNull { it.lateAt })
     }
@@ -58,7 +58,7 @@
     @Property(tries = 300, seed = "20261204")
     fun `fewest tasks left without an ideal response time takes the job with the fewest unfinished tasks`(
         @ForAll("steps") steps: List<Step>,
-    ) = run(steps, FewestLeftQueue(quota = quota)) { reference, _ -> setOf(reference.startableJobs().minBy { it.tasksLeft }) }
+    ) = run(steps, FewestTasksLeftQueue(quota = quota)) { reference, _ -> setOf(reference.startableJobs().minBy { it.tasksLeft }) }
 
     @Property(tries = 300, seed = "20261204")
     fun `fair share takes a job of the team with the fewest running tasks`(
@@ -80,8 +80,8 @@
             when (step.kind) {
                 Step.Kind.ADD -> add(reference, queue, step, now)
                 Step.Kind.TAKE -> take(reference, queue, now, allowedJobs)
-                Step.Kind.GIVE_BACK -> removeRunningTask(reference, step) { id, task, job -> giveBack(queue, id, task, job) }
-                Step.Kind.END -> removeRunningTask(reference, step) { id, task, _ -> queue.ended(id, task) }
+                Step.Kind.REQUEUE -> removeRunningTask(reference, step) { id, task, job -> requeue(queue, id, task, job) }
+                Step.Kind.END -> removeRunningTask(reference, step) { id, task, _ -> queue.taskEnded(id, task) }
                 Step.Kind.REMOVE -> remove(reference, queue, step)
                 Step.Kind.WAIT -> now += step.size.seconds
             }
@@ -100,7 +100,7 @@
         val id = SubmissionId.create(Instant.EPOCH, high = 0, low = reference.jobs.size.toLong())
         val tasks = List(step.size) { it }
         val team = teams[step.pick % teams.size]
-        queue.add(QueuedJob(submission = id, team = team, tasks = tasks, arrived = now, deadline = Duration.INFINITE))
+        queue.add(QueuedJob(submission = id, team = team, tasks = tasks, arrivedAt = now, deadline = Duration.INFINITE))
         reference.jobs += ReferenceQueue.Job(id, team, lateAt = now + (2 * step.size).seconds, waiting = tasks.toMutableList())
     }
 
@@ -131,13 +131,13 @@
         apply(job.id, task, job)
     }
 
-    private fun giveBack(
+    private fun requeue(
         queue: JobQueue,
         id: SubmissionId,
         task: Int,
         job: ReferenceQueue.Job,
     ) {
-        queue.giveBack(id, task)
+        queue.requeue(id, task)
         if (!job.removed) job.waiting.add(0, task)
     }
 
--- a/placement/src/test/kotlin/io/bluebellramp/placement/LeastLoadedPoolReferenceTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/LeastLoadedPoolReferenceTest.kt
@@ -40,7 +40,7 @@
                 2, 3, 4 -> spend()
                 5 -> end(target, ran = (80 + random.nextInt(60)).milliseconds)
                 6 -> withdraw(target)
-                else -> if (random.nextInt(10) == 0) drop(target) else notRun(target)
+                else -> if (random.nextInt(10) == 0) removeTarget(target) else taskNotStarted(target)
             }
             assertEquals(
                 reference.filterValues { it.credits > 0 }.mapValues { it.value.credits },
@@ -79,12 +79,12 @@
             target: TargetId,
             ran: Duration,
         ) {
-            pool.ended(target, ran, failed = false, now = ZERO)
+            pool.taskEnded(target, ran, failed = false, now = ZERO)
             release(target)
         }
 
-        private fun notRun(target: TargetId) {
-            pool.notRun(target)
+        private fun taskNotStarted(target: TargetId) {
+            pool.taskNotStarted(target)
             release(target)
         }
 
@@ -99,8 +99,8 @@
             if (expectedTarget != null) expectedTarget.credits = maxOf(0, expectedTarget.credits - 2)
         }
 
-        private fun drop(target: TargetId) {
-            pool.drop(target)
+        private fun removeTarget(target: TargetId) {
+            pool.removeTarget(target)
             reference.remove(target)
         }
     }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/LeastLoadedPoolTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/LeastLoadedPoolTest.kt
@@ -51,7 +51,7 @@
         @Test
         fun `are void once their connection is lost`() {
             pool.grant(a, north, credits = 3)
-            pool.drop(a)
+            pool.removeTarget(a)
             assertNull(pool.spend(0.seconds))
             assertEquals(emptyList(), pool.unspent())
         }
@@ -75,7 +75,7 @@
             makeTargetAStraggler()
             for (second in listOf(0, 10, 20)) {
                 assertEquals(listOf(a, null), List(2) { pool.spend(second.seconds)?.target })
-                pool.ended(a, ran = 100.milliseconds, failed = false, now = second.seconds)
+                pool.taskEnded(a, ran = 100.milliseconds, failed = false, now = second.seconds)
             }
             assertEquals(listOf(a, a, a), List(3) { pool.spend(30.seconds)?.target })
         }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/TargetHealthTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/TargetHealthTest.kt
@@ -100,7 +100,7 @@
             while (now < 1.minutes) {
                 endsByTime.headMap(now, true).toList().forEach { (at, ended) ->
                     ended.forEach { target ->
-                        pool.ended(target, ran = 200.milliseconds, failed = target == badTarget, now = at)
+                        pool.taskEnded(target, ran = 200.milliseconds, failed = target == badTarget, now = at)
                         pool.grant(target, ZoneId("z"), credits = 1)
                     }
                     endsByTime.remove(at)
