--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsTrial.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsTrial.kt
@@ -107,14 +107,14 @@
                 kind.stretch,
                 kind.allowance.inWholeMilliseconds,
             )
-        val patience = maxOf(kind.patience, job.objective * PATIENCE)
+        val timeout = maxOf(kind.patience, job.objective * PATIENCE)
         val entry = system.entries.random(random)
         val caller =
             Caller {
                 job.answer = it
                 job.answeredAt = time.now
             }
-        entry.submit(JobRequest(id, queue, "", listOf(step), patience), caller)
+        entry.submit(JobRequest(id, queue, "", listOf(step), timeout), caller)
     }
 
     companion object {
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/ModelSystem.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/ModelSystem.kt
@@ -7,13 +7,13 @@
 import io.bluebellramp.core.TargetId
 import io.bluebellramp.core.ZoneId
 import io.bluebellramp.jobs.JobDecision
-import io.bluebellramp.jobs.JobDesk
 import io.bluebellramp.jobs.JobOutputs
+import io.bluebellramp.jobs.JobScheduler
 import io.bluebellramp.jobs.LinkId
-import io.bluebellramp.jobs.RunDesk
 import io.bluebellramp.jobs.RunKey
+import io.bluebellramp.jobs.RunManager
 import io.bluebellramp.jobs.RunOutputs
-import io.bluebellramp.jobs.TargetNews
+import io.bluebellramp.jobs.TargetDescription
 import io.bluebellramp.jobs.node.LinkTiming
 import io.bluebellramp.messages.RoomReport
 import io.bluebellramp.messages.StepDispatch
@@ -42,7 +42,11 @@
     private val agents = List(site.targets.size) { Agent(it) }
 
     /** The entries; a caller is sent to any of them. */
-    val entries: List<JobDesk> = List(site.entries) { Entry(it) }.onEach { entry -> agents.forEach { entry.connect(it) } }.map { it.desk }
+    val entries: List<JobScheduler> =
+        List(site.entries) { Entry(it) }
+            .onEach { entry ->
+                agents.forEach { entry.connect(it) }
+            }.map { it.scheduler }
 
     private fun hop() = site.hop * (HOP_LEAST + random.nextDouble())
 
@@ -59,11 +63,11 @@
     private inner class Entry(
         number: Int,
     ) : JobOutputs {
-        val desk = JobDesk(clock, this, LinkTiming.LOST_RUN_LIFE, Random(random.nextInt()))
+        val scheduler = JobScheduler(clock, this, LinkTiming.LOST_LINK_RUN_TIMEOUT, Random(random.nextInt()))
         private val links = HashMap<LinkId, Agent>()
 
         init {
-            time.every(LinkTiming.TICK, { time.now < end }) { desk.tick() }
+            time.every(LinkTiming.TICK, { time.now < end }) { scheduler.tick() }
         }
 
         private val own = LinkId(number.toLong() + 1)
@@ -71,8 +75,8 @@
         fun connect(agent: Agent) {
             val link = LinkId(agent.number.toLong() + 1)
             links[link] = agent
-            desk.linkUp(link, "agent-${agent.number}", ZoneId("z"))
-            agent.entries[own] = Peer(link, desk)
+            scheduler.linkUp(link, "agent-${agent.number}", ZoneId("z"))
+            agent.entries[own] = Peer(link, scheduler)
         }
 
         override fun dispatch(
@@ -83,7 +87,7 @@
             if (!agent.isCut()) {
                 time.after(hop()) {
                     agent.entries.getValue(own).received += dispatch.tasks.size
-                    agent.desk.dispatch(own, dispatch)
+                    agent.runManager.dispatch(own, dispatch)
                 }
             }
         }
@@ -93,18 +97,18 @@
             job: JobId,
         ) {
             val agent = links.getValue(link)
-            if (!agent.isCut()) time.after(hop()) { agent.desk.stopJob(own, job) }
+            if (!agent.isCut()) time.after(hop()) { agent.runManager.stopJob(own, job) }
         }
 
-        override fun decided(decision: JobDecision) = Unit
+        override fun onDecision(decision: JobDecision) = Unit
     }
 
     private class Peer(
         val link: LinkId,
-        val desk: JobDesk,
+        val scheduler: JobScheduler,
     ) {
         var received = 0L
-        var lastRoom: RoomReport? = null
+        var lastReport: RoomReport? = null
         var isUp = true
     }
 
@@ -114,16 +118,16 @@
         private val troubles = site.troubles.filter { meets(it, number) }
         private val target = ModelTarget(TargetId("t-$number"), site.targets[number], time, random, troubles, runTimes)
         val entries = LinkedHashMap<LinkId, Peer>()
-        val desk = RunDesk(clock, target, this, ZoneId("z"), LinkTiming.LEASE, fence = 1)
+        val runManager = RunManager(clock, target, this, ZoneId("z"), LinkTiming.RUN_LEASE, fence = 1)
         private var life = 1L
         private var sequence = 0L
         private var heardAt = Duration.ZERO
-        private var roomChangedAt: Duration? = null
+        private var capacityChangedAt: Duration? = null
 
         init {
             hear()
-            time.every(LinkTiming.TICK, { time.now < end }) { desk.tick() }
-            time.every(LinkTiming.BEAT_PERIOD, { time.now < end }) { tellAll(isBeat = true) }
+            time.every(LinkTiming.TICK, { time.now < end }) { runManager.tick() }
+            time.every(LinkTiming.HEARTBEAT_PERIOD, { time.now < end }) { tellAll(isBeat = true) }
             time.every(TARGET_BEAT, { time.now < end }) { hear() }
             troubles.filter { it.kind == Trouble.Kind.CRASHED }.forEach { trouble ->
                 time.at(trouble.at) { target.crash() }
@@ -134,7 +138,7 @@
                 }
             }
             troubles.filter { it.kind == Trouble.Kind.CUT }.forEach { trouble ->
-                time.at(trouble.at + LinkTiming.SILENCE) { entries.forEach { (own, peer) -> lose(own, peer, trouble.at) } }
+                time.at(trouble.at + LinkTiming.LINK_TIMEOUT) { entries.forEach { (own, peer) -> lose(own, peer, trouble.at) } }
                 time.at(trouble.at + trouble.lasts) { entries.values.forEach { reconnect(it) } }
             }
         }
@@ -147,20 +151,22 @@
             at: Duration,
         ) {
             peer.isUp = false
-            peer.desk.linkDown(peer.link, START + at)
-            desk.linkDown(own)
+            peer.scheduler.linkDown(peer.link, START + at)
+            runManager.linkDown(own)
         }
 
         private fun reconnect(peer: Peer) {
             peer.isUp = true
             peer.received = 0
-            peer.desk.linkUp(peer.link, "agent-$number", ZoneId("z"))
+            peer.scheduler.linkUp(peer.link, "agent-$number", ZoneId("z"))
         }
 
         private fun hear() {
             if (troubles.any { it.kind == Trouble.Kind.CRASHED && it.isOn(time.now) }) return
             val kind = site.targets[number]
-            desk.targetNews(TargetNews(target.id, life, ++sequence, SERVICE, false, kind.milliCpu, kind.memoryMb, "10.0.0.1:1"))
+            runManager.targetAnnounced(
+                TargetDescription(target.id, life, ++sequence, SERVICE, false, kind.milliCpu, kind.memoryMb, "10.0.0.1:1"),
+            )
         }
 
         override fun report(
@@ -169,18 +175,18 @@
         ) {
             val peer = entries.getValue(link)
             if (isCut() || !peer.isUp) return
-            val room = desk.room().copy(received = peer.received)
+            val capacity = runManager.capacityReport().copy(received = peer.received)
             time.after(hop()) {
-                peer.desk.room(peer.link, room)
-                peer.desk.report(peer.link, report)
+                peer.scheduler.capacityReported(peer.link, capacity)
+                peer.scheduler.report(peer.link, report)
             }
         }
 
-        override fun roomChanged() {
-            if (roomChangedAt != null) return
-            roomChangedAt = time.now
-            time.after((heardAt + LinkTiming.ROOM_PERIOD - time.now).coerceAtLeast(Duration.ZERO)) {
-                roomChangedAt = null
+        override fun capacityChanged() {
+            if (capacityChangedAt != null) return
+            capacityChangedAt = time.now
+            time.after((heardAt + LinkTiming.MIN_REPORT_INTERVAL - time.now).coerceAtLeast(Duration.ZERO)) {
+                capacityChangedAt = null
                 tellAll(isBeat = false)
             }
         }
@@ -189,14 +195,14 @@
             heardAt = time.now
             if (isCut()) return
             for (peer in entries.values.filter { it.isUp }) {
-                val room = desk.room().copy(received = peer.received)
-                if (!isBeat && room == peer.lastRoom) continue
-                peer.lastRoom = room
-                time.after(hop()) { peer.desk.room(peer.link, room) }
+                val capacity = runManager.capacityReport().copy(received = peer.received)
+                if (!isBeat && capacity == peer.lastReport) continue
+                peer.lastReport = capacity
+                time.after(hop()) { peer.scheduler.capacityReported(peer.link, capacity) }
             }
         }
 
-        override fun decided(decision: JobDecision) = Unit
+        override fun onDecision(decision: JobDecision) = Unit
     }
 
     companion object {
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/ModelTarget.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/ModelTarget.kt
@@ -15,7 +15,7 @@
 
 /**
  * A target that starts what it is told to. Its answers take [CALL] and are never lost; it may be slow, fail, hang or be gone for a while.
- * Leases do not run out here: `SeededHistoriesTest` covers that.
+ * Leases do not run out here: `JobsSimulationTest` covers that.
  */
 internal class ModelTarget(
     val id: TargetId,
@@ -96,7 +96,7 @@
         ended.clear()
     }
 
-    private fun listing() = LeaseResult.Listed(1, time.now, running.values.associate { it.key to percent(it) }, ended.toList())
+    private fun listing() = LeaseResult.RunList(1, time.now, running.values.associate { it.key to percent(it) }, ended.toList())
 
     private fun percent(run: Running): Int {
         if (run.hangs) return 0
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/Job.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/Job.kt
@@ -75,7 +75,7 @@
     /** Submissions with the same id that wait until this job is closed. */
     val resubmissions = ArrayList<Pair<JobRequest, Caller>>()
     val id get() = request.id
-    val deadline = arrivedAt + request.patience
+    val deadline = arrivedAt + request.timeout
     val dueAt = arrivedAt + request.objective
     val isDone get() = tasks.all { it.state == TaskState.Done }
 
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/JobOutputs.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/JobOutputs.kt
@@ -11,7 +11,7 @@
     override fun toString() = value.toString()
 }
 
-/** The outputs of a [JobDesk]. */
+/** The outputs of a [JobScheduler]. */
 interface JobOutputs {
     /** Sends tasks to the agent at [link]. */
     fun dispatch(
@@ -26,7 +26,7 @@
     )
 
     /** Logs [decision]. */
-    fun decided(decision: JobDecision)
+    fun onDecision(decision: JobDecision)
 }
 
 /**
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/JobRequest.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/JobRequest.kt
@@ -8,14 +8,14 @@
 /**
  * A best-effort job. It is not stored, and its caller gets the answer when it ends.
  *
- * @property patience how long the caller waits for the answer
+ * @property timeout how long the caller waits for the answer
  */
 class JobRequest(
     val id: JobId,
     val queue: Queue,
     val spec: String,
     val steps: List<StepRequest>,
-    val patience: Duration,
+    val timeout: Duration,
 ) {
     /** Estimated run time of the longest path through the dependent steps. */
     val criticalPath: Duration =
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/JobDesk.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/JobScheduler.kt
@@ -20,15 +20,15 @@
  * Schedules the best-effort jobs of one entry: a state machine without I/O, used from one thread.
  *
  * A task is sent again only after its agent reported that the previous run is over or, if the link to the agent was lost, once the
- * target must have ended every run dispatched on it ([lostRunLife]). A job is answered with [JobAnswer.NotRun] only if no agent has
+ * target must have ended every run dispatched on it ([lostLinkRunTimeout]). A job is answered with [JobAnswer.NotRun] only if no agent has
  * reported, or can still report, that one of its tasks started.
  *
- * @param lostRunLife time from the last frame received on a lost link until every run dispatched on it has ended
+ * @param lostLinkRunTimeout time from the last frame received on a lost link until every run dispatched on it has ended
  */
-class JobDesk(
+class JobScheduler(
     private val clock: Clock,
     private val outputs: JobOutputs,
-    private val lostRunLife: Duration,
+    private val lostLinkRunTimeout: Duration,
     random: Random = Random.Default,
 ) {
     private val selector = AgentSelector(random)
@@ -47,7 +47,7 @@
     val openAgents: Int get() = trackers.values.count { it.isAccepting }
 
     /** Returns the number of jobs of [queue] of which no task has started. */
-    fun pending(queue: String): Int = jobs.values.count { it.request.queue.name == queue && it.endCause == null && !it.hasStarted }
+    fun unstartedJobs(queue: String): Int = jobs.values.count { it.request.queue.name == queue && it.endCause == null && !it.hasStarted }
 
     /** Sets the availability zones that get no new tasks. */
     fun setZonesOut(zones: Set<ZoneId>) {
@@ -111,7 +111,7 @@
         heardAt: Duration,
     ) {
         trackers.remove(link) ?: return
-        val until = maxOf(heardAt, clock.monotonic() - lostRunLife) + lostRunLife
+        val until = maxOf(heardAt, clock.monotonic() - lostLinkRunTimeout) + lostLinkRunTimeout
         for (job in jobs.values) {
             for (task in job.tasks) {
                 if ((task.state as? TaskState.AtAgent)?.link != link) continue
@@ -124,7 +124,7 @@
     }
 
     /** Processes the capacity report of the agent at [link]. */
-    fun room(
+    fun capacityReported(
         link: LinkId,
         report: RoomReport,
     ) {
@@ -453,7 +453,7 @@
         kind: String,
         job: Job,
         vararg details: Pair<String, Any>,
-    ) = outputs.decided(JobDecision(kind, job.id, mapOf("queue" to job.request.queue.name) + details))
+    ) = outputs.onDecision(JobDecision(kind, job.id, mapOf("queue" to job.request.queue.name) + details))
 
     private companion object {
         /** By the users' rules, a late answer is still useful within three times the objective. */
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/RunDesk.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/RunManager.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The outputs of a [RunDesk]. */
+/** The outputs of a [RunManager]. */
 interface RunOutputs {
     /** Reports the state of a task to the entry at [link]. */
     fun report(
@@ -21,11 +21,11 @@
         report: TaskReport,
     )
 
-    /** Called when [RunDesk.room] may have changed. */
-    fun roomChanged()
+    /** Called when [RunManager.capacityReport] may have changed. */
+    fun capacityChanged()
 
     /** Logs [decision]. */
-    fun decided(decision: JobDecision)
+    fun onDecision(decision: JobDecision)
 }
 
 /**
@@ -38,7 +38,7 @@
  * @param lease time after which the target ends all runs if this agent does not extend the lease
  * @param fence greater than the fence of every earlier agent of this target
  */
-class RunDesk(
+class RunManager(
     private val clock: Clock,
     private val target: TargetPort,
     private val outputs: RunOutputs,
@@ -50,7 +50,7 @@
     private val queue = RunQueue<Run>()
     private val runNumbers = RunNumbers()
     private val healthMonitor = TargetHealthMonitor()
-    private var currentTarget: TargetNews? = null
+    private var currentTarget: TargetDescription? = null
     private var zonesOut: Set<ZoneId> = emptySet()
     private var isStopping = false
 
@@ -92,7 +92,7 @@
     }
 
     /** Creates the capacity report for the entries. */
-    fun room(): RoomReport {
+    fun capacityReport(): RoomReport {
         val current = currentTarget ?: return RoomReport(accepting = false)
         val now = clock.monotonic()
         return RoomReport(
@@ -109,7 +109,7 @@
     }
 
     /** Processes an announcement of the target. Returns false if [next] is older than the last one. */
-    fun targetNews(next: TargetNews): Boolean {
+    fun targetAnnounced(next: TargetDescription): Boolean {
         val current = currentTarget
         if (current != null) {
             if (next.life < current.life) return false
@@ -129,7 +129,7 @@
         recordDecision("target_gone", null, "target" to id)
         forgetTarget("the target left")
         currentTarget = null
-        outputs.roomChanged()
+        outputs.capacityChanged()
     }
 
     /** Processes tasks dispatched by the entry at [owner]. */
@@ -191,7 +191,7 @@
         advance()
     }
 
-    private fun replaceTarget(next: TargetNews) {
+    private fun replaceTarget(next: TargetDescription) {
         recordDecision("target_seen", null, "target" to next.id, "life" to next.life, "cpu" to next.milliCpu)
         forgetTarget("the target started again")
         runNumbers.clear()
@@ -220,10 +220,10 @@
         if (reason != null) {
             queue.removeAll { true }.forEach { finishNotStarted(it, reason) }
         } else {
-            queue.takeExpired(now).forEach { finishNotStarted(it, NO_ROOM) }
+            queue.takeExpired(now).forEach { finishNotStarted(it, NO_CAPACITY) }
             if (orphanedRuns.isEmpty()) startFitting(now)
         }
-        outputs.roomChanged()
+        outputs.capacityChanged()
     }
 
     private fun startFitting(now: Duration) {
@@ -237,7 +237,7 @@
 
     private fun sendStart(
         run: Run,
-        current: TargetNews,
+        current: TargetDescription,
         until: Duration,
         now: Duration,
     ) {
@@ -343,7 +343,7 @@
         targetLease.callEnded()
         if (currentTarget == null) return
         when (result) {
-            is LeaseResult.Listed -> {
+            is LeaseResult.RunList -> {
                 processList(result, sentAt)
                 requestLease()
             }
@@ -361,7 +361,7 @@
     }
 
     private fun processList(
-        result: LeaseResult.Listed,
+        result: LeaseResult.RunList,
         sentAt: Duration,
     ) {
         val now = clock.monotonic()
@@ -477,7 +477,7 @@
         vararg details: Pair<String, Any>,
     ) {
         val task = run?.let { mapOf("task" to "${it.task.step}.${it.task.index}", "run" to it.number, "state" to it.state) }.orEmpty()
-        outputs.decided(JobDecision(kind, run?.task?.job ?: NO_JOB, task + details))
+        outputs.onDecision(JobDecision(kind, run?.task?.job ?: NO_JOB, task + details))
     }
 
     private companion object {
@@ -493,6 +493,6 @@
         const val MAX_START_RETRIES = 5
         const val FENCE_STEP = 1000L
         val NO_JOB = JobId("")
-        const val NO_ROOM = "no room in time"
+        const val NO_CAPACITY = "no room in time"
     }
 }
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/TargetPort.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/TargetPort.kt
@@ -24,7 +24,7 @@
  * @property life identifies one life of the target, from start to end; a greater number is newer
  * @property sequence rises with each announcement within one life
  */
-data class TargetNews(
+data class TargetDescription(
     val id: TargetId,
     val life: Long,
     val sequence: Long,
@@ -95,7 +95,7 @@
      * @property running the current runs with their progress (0 to 100)
      * @property ended the ends that were not acknowledged yet, oldest first
      */
-    data class Listed(
+    data class RunList(
         val life: Long?,
         val clock: Duration,
         val running: Map<RunKey, Int>,
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/AgentNode.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/AgentNode.kt
@@ -7,9 +7,9 @@
 import io.bluebellramp.core.WireJson
 import io.bluebellramp.jobs.JobDecision
 import io.bluebellramp.jobs.LinkId
-import io.bluebellramp.jobs.RunDesk
+import io.bluebellramp.jobs.RunManager
 import io.bluebellramp.jobs.RunOutputs
-import io.bluebellramp.jobs.TargetNews
+import io.bluebellramp.jobs.TargetDescription
 import io.bluebellramp.jobs.TargetPort
 import io.bluebellramp.messages.DispatchFrame
 import io.bluebellramp.messages.NodeSettings
@@ -52,18 +52,18 @@
     private val links = HashMap<LinkId, Entry>()
     private val lastListedAt = HashMap<Address, Duration>()
     private val pauseDetector = PauseDetector(clock)
-    private val lease = minOf(LinkTiming.LEASE, settings.longestLeaseMillis.milliseconds)
-    private val desk = RunDesk(clock, target, Outputs(), settings.zone, lease, initialFence())
+    private val lease = minOf(LinkTiming.RUN_LEASE, settings.longestLeaseMillis.milliseconds)
+    private val runManager = RunManager(clock, target, Outputs(), settings.zone, lease, initialFence())
     private var lastLinkNumber = 0L
     private var isFlushScheduled = false
     private var lastReportAt = Duration.ZERO
     private var lastHeartbeatAt = Duration.ZERO
 
     /** Number of runs that are not over. */
-    val openRuns: Int get() = desk.openRuns
+    val openRuns: Int get() = runManager.openRuns
 
     /** Number of connected entries. */
-    val reachedEntries: Int get() = links.size
+    val connectedEntries: Int get() = links.size
 
     /** Starts to connect to control and to the entries. */
     fun start() {
@@ -73,13 +73,13 @@
     }
 
     /** Processes an announcement of the target. Returns false if it is older than the last one. */
-    fun targetNews(news: TargetNews): Boolean = desk.targetNews(news)
+    fun targetAnnounced(description: TargetDescription): Boolean = runManager.targetAnnounced(description)
 
     /** Records that the target [id] has left for good. */
-    fun targetLeft(id: TargetId) = desk.targetLeft(id)
+    fun targetLeft(id: TargetId) = runManager.targetLeft(id)
 
     /** Accepts no new tasks from now on. */
-    fun drain() = desk.drain()
+    fun drain() = runManager.drain()
 
     /** A later agent of the same VM has a greater fence. If the wall clock stepped back, the target refuses the fence and it is raised. */
     private fun initialFence() = clock.wall().epochSecond - FENCE_EPOCH_SECONDS
@@ -87,7 +87,7 @@
     /** Uses [seeds] to find control from now on. */
     fun useSeeds(seeds: List<Address>) = control.useSeeds(seeds)
 
-    private fun applyState(state: SharedState) = desk.setZonesOut(state.zonesOut.toSet())
+    private fun applyState(state: SharedState) = runManager.setZonesOut(state.zonesOut.toSet())
 
     private fun tick() {
         val pause = pauseDetector.check()
@@ -99,8 +99,8 @@
         val now = clock.monotonic()
         updateEntries(now)
         entries.values.forEach { it.dialer.check(now) }
-        desk.tick()
-        if (now - lastHeartbeatAt < LinkTiming.BEAT_PERIOD) return
+        runManager.tick()
+        if (now - lastHeartbeatAt < LinkTiming.HEARTBEAT_PERIOD) return
         lastHeartbeatAt = now
         sendHeartbeats(now)
     }
@@ -130,22 +130,22 @@
     private fun flush() {
         isFlushScheduled = false
         val now = clock.monotonic()
-        val room = desk.room()
-        val isReportDue = now - lastReportAt >= LinkTiming.ROOM_PERIOD
+        val capacity = runManager.capacityReport()
+        val isReportDue = now - lastReportAt >= LinkTiming.MIN_REPORT_INTERVAL
         if (isReportDue) lastReportAt = now
-        for (entry in links.values) entry.flush(room, isReportDue)
+        for (entry in links.values) entry.flush(capacity, isReportDue)
     }
 
     private fun sendHeartbeats(now: Duration) {
         lastReportAt = now
-        val room = desk.room()
-        links.values.forEach { it.flush(room, isReportDue = true, isHeartbeat = true) }
+        val capacity = runManager.capacityReport()
+        links.values.forEach { it.flush(capacity, isReportDue = true, isHeartbeat = true) }
     }
 
     private inner class Entry(
         address: Address,
     ) : LinkListener {
-        val dialer = FrameDialer(loop, clock, address, LinkTiming.SILENCE, this)
+        val dialer = FrameDialer(loop, clock, address, LinkTiming.LINK_TIMEOUT, this)
         private var id: LinkId? = null
         private var received = 0L
         private val outcomes = ArrayList<TaskReport>()
@@ -156,11 +156,11 @@
         }
 
         fun flush(
-            room: RoomReport,
+            capacity: RoomReport,
             isReportDue: Boolean,
             isHeartbeat: Boolean = false,
         ) {
-            val report = room.copy(received = received)
+            val report = capacity.copy(received = received)
             val mustSend = outcomes.isNotEmpty() || isHeartbeat || (isReportDue && report != lastReport)
             if (!mustSend) return
             lastReport = report
@@ -183,7 +183,7 @@
             outcomes.clear()
             links[next] = this
             link.send(encodedHello)
-            flush(desk.room(), isReportDue = true)
+            flush(runManager.capacityReport(), isReportDue = true)
             logDecision(Decision(kind = "entry_reached", reason = "link $next to ${dialer.address}"))
         }
 
@@ -194,11 +194,11 @@
             val owner = id ?: return
             if (text == EMPTY_FRAME) return
             val frame = WireJson.decodeFromString<DispatchFrame>(text)
-            frame.stops.forEach { desk.stopJob(owner, it) }
-            frame.cancels.forEach { desk.cancel(it) }
+            frame.stops.forEach { runManager.stopJob(owner, it) }
+            frame.cancels.forEach { runManager.cancel(it) }
             frame.dispatches.forEach {
                 received += it.tasks.size
-                desk.dispatch(owner, it)
+                runManager.dispatch(owner, it)
             }
         }
 
@@ -216,7 +216,7 @@
             val lost = id ?: return
             id = null
             links.remove(lost)
-            desk.linkDown(lost)
+            runManager.linkDown(lost)
         }
     }
 
@@ -229,9 +229,9 @@
             scheduleFlush()
         }
 
-        override fun roomChanged() = scheduleFlush()
+        override fun capacityChanged() = scheduleFlush()
 
-        override fun decided(decision: JobDecision) = decision.log()
+        override fun onDecision(decision: JobDecision) = decision.log()
     }
 
     private companion object {
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/EntryNode.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/EntryNode.kt
@@ -7,9 +7,9 @@
 import io.bluebellramp.core.WireJson
 import io.bluebellramp.jobs.Caller
 import io.bluebellramp.jobs.JobDecision
-import io.bluebellramp.jobs.JobDesk
 import io.bluebellramp.jobs.JobOutputs
 import io.bluebellramp.jobs.JobRequest
+import io.bluebellramp.jobs.JobScheduler
 import io.bluebellramp.jobs.LinkId
 import io.bluebellramp.messages.Catalog
 import io.bluebellramp.messages.DispatchFrame
@@ -46,7 +46,7 @@
     private val outbox = LinkedHashMap<LinkId, PendingDispatches>()
     private val pauseDetector = PauseDetector(clock)
     private val control = ControlLinks(settings, loop, clock, hello, ::applyState)
-    private val desk = JobDesk(clock, Outputs(), LinkTiming.LOST_RUN_LIFE)
+    private val scheduler = JobScheduler(clock, Outputs(), LinkTiming.LOST_LINK_RUN_TIMEOUT)
     private val server = FrameServer(loop, clock, address.host, address.port, AgentListener())
     private var lastLinkNumber = 0L
     private var lastHeartbeatAt = Duration.ZERO
@@ -57,13 +57,13 @@
     val catalog: Catalog? get() = control.state?.catalog
 
     /** True while jobs can be served: the catalog is known, an agent accepts tasks, and the entry is not stopping. */
-    val isReady: Boolean get() = !isStopping && catalog != null && desk.openAgents > 0
+    val isReady: Boolean get() = !isStopping && catalog != null && scheduler.openAgents > 0
 
     /** Number of jobs that are not over. */
-    val openJobs: Int get() = desk.openJobs
+    val openJobs: Int get() = scheduler.openJobs
 
     /** Number of connected agents. */
-    val agents: Int get() = desk.agents
+    val agents: Int get() = scheduler.agents
 
     /** Starts to connect to control and to listen for agents. */
     fun start() {
@@ -75,22 +75,22 @@
     fun submit(
         request: JobRequest,
         caller: Caller,
-    ) = desk.submit(request, caller)
+    ) = scheduler.submit(request, caller)
 
     /** Records that [caller] no longer waits for an answer. */
     fun callerLeft(
         id: JobId,
         caller: Caller,
-    ) = desk.callerLeft(id, caller)
+    ) = scheduler.callerLeft(id, caller)
 
     /** Cancels the job with [id] at all agents, whichever entry owns it. Returns false if this entry does not own it. */
     fun cancel(id: JobId): Boolean {
         links.keys.forEach { pending(it).cancels += id }
-        return desk.cancel(id)
+        return scheduler.cancel(id)
     }
 
     /** Returns the number of jobs of [queue] of which no task has started. */
-    fun pending(queue: String): Int = desk.pending(queue)
+    fun unstartedJobs(queue: String): Int = scheduler.unstartedJobs(queue)
 
     /** Reports not ready from now on. Jobs are still accepted. */
     fun drain() {
@@ -98,12 +98,12 @@
     }
 
     /** Ends all jobs. */
-    fun endAll() = desk.endAll()
+    fun endAll() = scheduler.endAll()
 
     /** Uses [seeds] to find control from now on. */
     fun useSeeds(seeds: List<Address>) = control.useSeeds(seeds)
 
-    private fun applyState(state: SharedState) = desk.setZonesOut(state.zonesOut.toSet())
+    private fun applyState(state: SharedState) = scheduler.setZonesOut(state.zonesOut.toSet())
 
     private fun tick() {
         val pause = pauseDetector.check()
@@ -117,9 +117,9 @@
         if (!isListening) server.start()
         isListening = true
         val now = clock.monotonic()
-        links.values.filter { now - it.heardAt > LinkTiming.SILENCE }.forEach { it.close() }
-        desk.tick()
-        if (now - lastHeartbeatAt < LinkTiming.BEAT_PERIOD) return
+        links.values.filter { now - it.heardAt > LinkTiming.LINK_TIMEOUT }.forEach { it.close() }
+        scheduler.tick()
+        if (now - lastHeartbeatAt < LinkTiming.HEARTBEAT_PERIOD) return
         lastHeartbeatAt = now
         links.values.forEach { it.send(EMPTY_FRAME) }
     }
@@ -159,7 +159,7 @@
             pending(link).stops += job
         }
 
-        override fun decided(decision: JobDecision) = decision.log()
+        override fun onDecision(decision: JobDecision) = decision.log()
     }
 
     private inner class AgentListener : LinkListener {
@@ -174,15 +174,15 @@
             frame.hello?.let { register(link, it) }
             val id = linkIds[link] ?: return
             // The capacity report goes first, because returned tasks are placed by it.
-            frame.room?.let { desk.room(id, it) }
-            frame.outcomes.forEach { desk.report(id, it) }
+            frame.room?.let { scheduler.capacityReported(id, it) }
+            frame.outcomes.forEach { scheduler.report(id, it) }
         }
 
         override fun onClosed(link: FrameLink) {
             val id = linkIds.remove(link) ?: return
             links.remove(id)
             outbox.remove(id)
-            desk.linkDown(id, link.heardAt)
+            scheduler.linkDown(id, link.heardAt)
             logDecision(
                 Decision(kind = "agent_lost", reason = "link $id closed; last frame received ${clock.monotonic() - link.heardAt} ago"),
             )
@@ -195,7 +195,7 @@
             val id = LinkId(++lastLinkNumber)
             links[id] = link
             linkIds[link] = id
-            desk.linkUp(id, hello.node, hello.zone)
+            scheduler.linkUp(id, hello.node, hello.zone)
             logDecision(Decision(kind = "agent_reached", reason = "link $id to ${hello.node} in ${hello.zone}"))
         }
     }
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/LinkTiming.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/LinkTiming.kt
@@ -8,22 +8,22 @@
     val TICK = 10.milliseconds
 
     /** Each side sends a frame at least this often. */
-    val BEAT_PERIOD = 120.milliseconds
+    val HEARTBEAT_PERIOD = 120.milliseconds
 
     /** A link without a received frame for this long is lost. The agent then stops the tasks that were dispatched on it. */
-    val SILENCE = 500.milliseconds
+    val LINK_TIMEOUT = 500.milliseconds
 
     /** Time for which the runs of an agent continue without it. */
-    val LEASE = 650.milliseconds
+    val RUN_LEASE = 650.milliseconds
 
     /**
      * Time from the last frame received by the entry until every run dispatched on a lost link has ended. If only the direction to the
-     * entry fails, the agent still receives frames until the entry detects the loss after [SILENCE], and itself detects it another
-     * [SILENCE] later. It then stops the runs, or their leases expire. The margin covers the stop, which the platform limits to 50 ms, and
-     * processes short of processor time.
+     * entry fails, the agent still receives frames until the entry detects the loss after [LINK_TIMEOUT], and itself detects it another
+     * [LINK_TIMEOUT] later. It then stops the runs, or their leases expire. The margin covers the stop, which the platform limits to 50 ms,
+     * and processes short of processor time.
      */
-    val LOST_RUN_LIFE = SILENCE * 2 + 200.milliseconds
+    val LOST_LINK_RUN_TIMEOUT = LINK_TIMEOUT * 2 + 200.milliseconds
 
     /** Shortest time between two capacity reports without other content. */
-    val ROOM_PERIOD = 25.milliseconds
+    val MIN_REPORT_INTERVAL = 25.milliseconds
 }
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/PauseDetector.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/PauseDetector.kt
@@ -33,7 +33,7 @@
     }
 
     private companion object {
-        /** Shorter than [LinkTiming.SILENCE], longer than a pause of the garbage collector. */
+        /** Shorter than [LinkTiming.LINK_TIMEOUT], longer than a pause of the garbage collector. */
         val THRESHOLD = 400.milliseconds
     }
 }
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/Fakes.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/Fakes.kt
@@ -42,12 +42,12 @@
     id: String = "00000000000000a1",
     tasks: Int = 1,
     estimate: Duration = 100.milliseconds,
-    patience: Duration = 1500.milliseconds,
+    timeout: Duration = 1500.milliseconds,
     queue: Queue = QUEUE,
     steps: List<StepRequest> = listOf(StepRequest(tasks, milliCpu = 3000, memoryMb = 64, estimate = estimate)),
-) = JobRequest(JobId(id), queue, "spec", steps, patience)
+) = JobRequest(JobId(id), queue, "spec", steps, timeout)
 
-internal fun roomReport(
+internal fun capacityReport(
     freeMilliCpu: Int = 32_000,
     queuedCpuMicros: Long = 0,
     accepting: Boolean = true,
@@ -63,7 +63,7 @@
     received = received,
 )
 
-/** Records the outputs of a [JobDesk]. */
+/** Records the outputs of a [JobScheduler]. */
 internal class RecordingJobOutputs : JobOutputs {
     val dispatches = ArrayList<Pair<LinkId, StepDispatch>>()
     val stops = ArrayList<Pair<LinkId, JobId>>()
@@ -83,12 +83,12 @@
         stops += link to job
     }
 
-    override fun decided(decision: JobDecision) {
+    override fun onDecision(decision: JobDecision) {
         decisions += decision
     }
 }
 
-/** Records the outputs of a [RunDesk]. */
+/** Records the outputs of a [RunManager]. */
 internal class RecordingRunOutputs : RunOutputs {
     val reports = ArrayList<Pair<LinkId, TaskReport>>()
     val decisions = ArrayList<JobDecision>()
@@ -100,9 +100,9 @@
         reports += link to report
     }
 
-    override fun roomChanged() = Unit
+    override fun capacityChanged() = Unit
 
-    override fun decided(decision: JobDecision) {
+    override fun onDecision(decision: JobDecision) {
         decisions += decision
     }
 }
@@ -166,6 +166,6 @@
         ended: List<Pair<RunKey, RunEnd>> = emptyList(),
     ) {
         val listed = ended.map { (run, end) -> ListedEnd(++lastEndNumber, run, end) }
-        leases.last().answer(LeaseResult.Listed(life = 1, clock = clock, running = running.associateWith { percent }, ended = listed))
+        leases.last().answer(LeaseResult.RunList(life = 1, clock = clock, running = running.associateWith { percent }, ended = listed))
     }
 }
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/JobDeskTest.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/JobSchedulerTest.kt
@@ -14,11 +14,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class JobDeskTest {
+class JobSchedulerTest {
     private val clock = FakeClock()
     private val outputs = RecordingJobOutputs()
-    private val lostRunLife = 1.seconds
-    private val desk = JobDesk(clock, outputs, lostRunLife, Random(7))
+    private val lostLinkRunTimeout = 1.seconds
+    private val scheduler = JobScheduler(clock, outputs, lostLinkRunTimeout, Random(7))
     private val answers = ArrayList<JobAnswer>()
     private val caller = Caller { answers += it }
     private val firstLink = LinkId(1)
@@ -28,8 +28,8 @@
         firstLink: LinkId,
         secondLink: LinkId? = null,
     ) = listOfNotNull(firstLink, secondLink).forEach {
-        desk.linkUp(it, "agent-$it", ZoneId("z$it"))
-        desk.room(it, roomReport())
+        scheduler.linkUp(it, "agent-$it", ZoneId("z$it"))
+        scheduler.capacityReported(it, capacityReport())
     }
 
     private fun report(
@@ -38,28 +38,28 @@
         event: TaskEvent,
         task: Int = dispatch.tasks.first(),
         reason: String = "",
-    ) = desk.report(link, TaskReport(dispatch.job, dispatch.step, task, dispatch.attempt, event, reason))
+    ) = scheduler.report(link, TaskReport(dispatch.job, dispatch.step, task, dispatch.attempt, event, reason))
 
     @Nested
     inner class NormalOperation {
         @Test
         fun `a job is answered once all of its tasks are done`() {
             connectAgents(firstLink)
-            desk.submit(request(tasks = 2), caller)
+            scheduler.submit(request(tasks = 2), caller)
             val (link, dispatch) = outputs.dispatches.single()
             assertEquals(listOf(0, 1), dispatch.tasks)
             report(link, dispatch, TaskEvent.DONE, task = 0)
             assertEquals(emptyList(), answers)
             report(link, dispatch, TaskEvent.DONE, task = 1)
             assertEquals(listOf<JobAnswer>(JobAnswer.Completed), answers)
-            assertEquals(0, desk.openJobs)
+            assertEquals(0, scheduler.openJobs)
         }
 
         @Test
         fun `a step starts after the steps it depends on`() {
             connectAgents(firstLink)
             val steps = listOf(StepRequest(1, 1000, 64, 50.milliseconds), StepRequest(1, 1000, 64, 50.milliseconds, dependsOn = listOf(0)))
-            desk.submit(request(steps = steps), caller)
+            scheduler.submit(request(steps = steps), caller)
             assertEquals(listOf(0), outputs.dispatches.map { it.second.step })
             report(firstLink, outputs.dispatches.single().second, TaskEvent.DONE)
             assertEquals(listOf(0, 1), outputs.dispatches.map { it.second.step })
@@ -68,8 +68,8 @@
         @Test
         fun `a submission with the id of an open job joins it`() {
             connectAgents(firstLink)
-            desk.submit(request(), caller)
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
+            scheduler.submit(request(), caller)
             assertEquals(1, outputs.dispatches.size)
             report(firstLink, outputs.dispatches.single().second, TaskEvent.DONE)
             assertEquals(2, answers.size)
@@ -82,8 +82,8 @@
         fun `an agent with an outdated report gets no tasks while another has a recent report`() {
             connectAgents(firstLink, secondLink)
             clock.advance(200.milliseconds)
-            desk.room(secondLink, roomReport())
-            desk.submit(request(tasks = 8), caller)
+            scheduler.capacityReported(secondLink, capacityReport())
+            scheduler.submit(request(tasks = 8), caller)
             assertEquals(setOf(secondLink), outputs.dispatches.map { it.first }.toSet())
         }
 
@@ -91,8 +91,8 @@
         fun `an agent with an outdated report is used if no other is large enough`() {
             connectAgents(firstLink, secondLink)
             clock.advance(200.milliseconds)
-            desk.room(secondLink, roomReport().copy(milliCpu = 500, freeMilliCpu = 500))
-            desk.submit(request(), caller)
+            scheduler.capacityReported(secondLink, capacityReport().copy(milliCpu = 500, freeMilliCpu = 500))
+            scheduler.submit(request(), caller)
             assertEquals(listOf(firstLink), outputs.dispatches.map { it.first })
         }
 
@@ -100,8 +100,8 @@
         fun `a report is not outdated within a heartbeat period`() {
             connectAgents(firstLink, secondLink)
             clock.advance(120.milliseconds)
-            desk.room(secondLink, roomReport())
-            desk.submit(request(tasks = 16), caller)
+            scheduler.capacityReported(secondLink, capacityReport())
+            scheduler.submit(request(tasks = 16), caller)
             assertEquals(setOf(firstLink, secondLink), outputs.dispatches.map { it.first }.toSet())
         }
     }
@@ -110,15 +110,15 @@
     inner class Refusals {
         @Test
         fun `a job is refused at once if no target can be reached`() {
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
             assertIs<JobAnswer.NotRun>(answers.single())
         }
 
         @Test
         fun `a job that would wait longer than its slack is refused at once and not dispatched`() {
             connectAgents(firstLink)
-            desk.room(firstLink, roomReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 500))
-            desk.submit(request(), caller)
+            scheduler.capacityReported(firstLink, capacityReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 500))
+            scheduler.submit(request(), caller)
             val answer = assertIs<JobAnswer.NotRun>(answers.single())
             assertTrue(answer.retryAfter > 100.milliseconds)
             assertEquals(emptyList(), outputs.dispatches)
@@ -127,26 +127,26 @@
         @Test
         fun `a wide job is refused at once if its last task would start too late, a narrow one is accepted`() {
             connectAgents(firstLink)
-            desk.room(firstLink, roomReport(freeMilliCpu = 6000))
-            desk.submit(request(tasks = 100), caller)
+            scheduler.capacityReported(firstLink, capacityReport(freeMilliCpu = 6000))
+            scheduler.submit(request(tasks = 100), caller)
             assertIs<JobAnswer.NotRun>(answers.single())
             assertEquals(emptyList(), outputs.dispatches)
-            desk.submit(request(id = "00000000000000a2", tasks = 3), caller)
+            scheduler.submit(request(id = "00000000000000a2", tasks = 3), caller)
             assertEquals(1, outputs.dispatches.size)
         }
 
         @Test
         fun `a job is not placed in a zone that is out of service`() {
             connectAgents(firstLink, secondLink)
-            desk.setZonesOut(setOf(ZoneId("z1")))
-            desk.submit(request(tasks = 4), caller)
+            scheduler.setZonesOut(setOf(ZoneId("z1")))
+            scheduler.submit(request(tasks = 4), caller)
             assertEquals(setOf(secondLink), outputs.dispatches.map { it.first }.toSet())
         }
 
         @Test
         fun `a job whose only task was returned as not started is refused as not run`() {
             connectAgents(firstLink)
-            desk.submit(request(tasks = 1), caller)
+            scheduler.submit(request(tasks = 1), caller)
             val dispatch = outputs.dispatches.single().second
             clock.advance(170.milliseconds)
             report(firstLink, dispatch, TaskEvent.NOT_STARTED)
@@ -156,21 +156,21 @@
         @Test
         fun `a job with a started task is never refused as not run`() {
             connectAgents(firstLink)
-            desk.submit(request(tasks = 2), caller)
+            scheduler.submit(request(tasks = 2), caller)
             val dispatch = outputs.dispatches.single().second
             report(firstLink, dispatch, TaskEvent.STARTED, task = 0)
             clock.advance(1600.milliseconds)
-            desk.tick()
+            scheduler.tick()
             assertIs<JobAnswer.Unfinished>(answers.single())
         }
 
         @Test
         fun `a job whose agent was lost is not refused as not run because it may have started`() {
             connectAgents(firstLink)
-            desk.submit(request(), caller)
-            desk.linkDown(firstLink, clock.monotonic())
+            scheduler.submit(request(), caller)
+            scheduler.linkDown(firstLink, clock.monotonic())
             clock.advance(1600.milliseconds)
-            desk.tick()
+            scheduler.tick()
             assertIs<JobAnswer.Unfinished>(answers.single())
         }
     }
@@ -180,13 +180,13 @@
         @Test
         fun `a task returned for lack of capacity is placed by the newest reports and keeps its due time`() {
             connectAgents(firstLink, secondLink)
-            desk.room(secondLink, roomReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 20))
-            desk.submit(request(), caller)
+            scheduler.capacityReported(secondLink, capacityReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 20))
+            scheduler.submit(request(), caller)
             val (link, dispatch) = outputs.dispatches.single()
             assertEquals(firstLink, link)
             clock.advance(70.milliseconds)
-            desk.room(firstLink, roomReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 90, received = 1))
-            desk.room(secondLink, roomReport())
+            scheduler.capacityReported(firstLink, capacityReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 90, received = 1))
+            scheduler.capacityReported(secondLink, capacityReport())
             report(firstLink, dispatch, TaskEvent.NOT_STARTED)
             val (next, redispatch) = outputs.dispatches.last()
             assertEquals(secondLink, next)
@@ -196,7 +196,7 @@
         @Test
         fun `a returned task of a late job is sent with a due time in the past`() {
             connectAgents(firstLink)
-            desk.submit(request(tasks = 2, estimate = 300.milliseconds), caller)
+            scheduler.submit(request(tasks = 2, estimate = 300.milliseconds), caller)
             val dispatch = outputs.dispatches.single().second
             report(firstLink, dispatch, TaskEvent.STARTED, task = 0)
             clock.advance(400.milliseconds)
@@ -214,16 +214,16 @@
         @Test
         fun `a task dispatched on a lost link is placed again only after its run has ended`() {
             connectAgents(firstLink, secondLink)
-            desk.submit(request(estimate = 2.seconds, patience = 10.seconds), caller)
+            scheduler.submit(request(estimate = 2.seconds, timeout = 10.seconds), caller)
             val link = outputs.dispatches.single().first
             val heardAt = clock.monotonic()
             clock.advance(300.milliseconds)
-            desk.linkDown(link, heardAt)
-            clock.advance(lostRunLife - 301.milliseconds)
-            desk.tick()
+            scheduler.linkDown(link, heardAt)
+            clock.advance(lostLinkRunTimeout - 301.milliseconds)
+            scheduler.tick()
             assertEquals(1, outputs.dispatches.size)
             clock.advance(2.milliseconds)
-            desk.tick()
+            scheduler.tick()
             assertEquals(2, outputs.dispatches.size)
             assertEquals(
                 2,
@@ -236,12 +236,12 @@
         @Test
         fun `a resubmission waits until the tasks of the ended job are over`() {
             connectAgents(firstLink)
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
             val endedDispatch = outputs.dispatches.single().second
             report(firstLink, endedDispatch, TaskEvent.STARTED)
-            desk.callerLeft(endedDispatch.job, caller)
+            scheduler.callerLeft(endedDispatch.job, caller)
             assertEquals(listOf(firstLink to endedDispatch.job), outputs.stops)
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
             assertEquals(1, outputs.dispatches.size)
             report(firstLink, endedDispatch, TaskEvent.STOPPED)
             assertEquals(2, outputs.dispatches.size)
@@ -250,7 +250,7 @@
         @Test
         fun `a report of another attempt or link is ignored`() {
             connectAgents(firstLink)
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
             val dispatch = outputs.dispatches.single().second
             report(firstLink, dispatch.copy(attempt = 9), TaskEvent.DONE)
             report(secondLink, dispatch, TaskEvent.DONE)
@@ -263,7 +263,7 @@
         @Test
         fun `a failed task is retried at another agent`() {
             connectAgents(firstLink, secondLink)
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
             val (link, dispatch) = outputs.dispatches.single()
             report(link, dispatch, TaskEvent.FAILED)
             assertEquals(setOf(firstLink, secondLink), outputs.dispatches.map { it.first }.toSet())
@@ -272,7 +272,7 @@
         @Test
         fun `a job fails once a task has failed as many times as its queue allows`() {
             connectAgents(firstLink, secondLink)
-            desk.submit(request(patience = 10.seconds), caller)
+            scheduler.submit(request(timeout = 10.seconds), caller)
             repeat(QUEUE.attempts) {
                 val (link, dispatch) = outputs.dispatches.last()
                 report(link, dispatch, TaskEvent.FAILED)
@@ -283,12 +283,12 @@
         @Test
         fun `a job ends without an answer when its caller leaves`() {
             connectAgents(firstLink)
-            desk.submit(request(), caller)
+            scheduler.submit(request(), caller)
             val dispatch = outputs.dispatches.single().second
-            desk.callerLeft(JobId("00000000000000a1"), caller)
+            scheduler.callerLeft(JobId("00000000000000a1"), caller)
             report(firstLink, dispatch, TaskEvent.NOT_STARTED)
             assertEquals(emptyList(), answers)
-            assertEquals(0, desk.openJobs)
+            assertEquals(0, scheduler.openJobs)
         }
     }
 }
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/RunDeskTest.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/RunManagerTest.kt
@@ -13,22 +13,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class RunDeskTest {
+class RunManagerTest {
     private val clock = FakeClock()
     private val target = FakeTarget()
     private val outputs = RecordingRunOutputs()
     private val zone = ZoneId("z1")
     private val lease = 650.milliseconds
-    private val desk = RunDesk(clock, target, outputs, zone, lease, fence = 7)
+    private val runManager = RunManager(clock, target, outputs, zone, lease, fence = 7)
     private val entry = LinkId(1)
     private val otherEntry = LinkId(2)
 
-    private fun news(
+    private fun targetDescription(
         life: Long = 1,
         sequence: Long = 1,
         draining: Boolean = false,
         id: String = "t1",
-    ) = TargetNews(TargetId(id), life, sequence, SERVICE, draining, milliCpu = 10_000, memoryMb = 1000, address = "10.0.0.1:1")
+    ) = TargetDescription(TargetId(id), life, sequence, SERVICE, draining, milliCpu = 10_000, memoryMb = 1000, address = "10.0.0.1:1")
 
     private fun dispatch(
         tasks: Int = 1,
@@ -51,7 +51,7 @@
     )
 
     private fun connectTarget() {
-        desk.targetNews(news())
+        runManager.targetAnnounced(targetDescription())
         target.answerLease()
     }
 
@@ -67,7 +67,7 @@
         @Test
         fun `a target never gets more than its capacity`() {
             connectTarget()
-            desk.dispatch(entry, dispatch(tasks = 3))
+            runManager.dispatch(entry, dispatch(tasks = 3))
             assertEquals(2, target.starts.size)
             val run = confirmStart(0)
             confirmStart(1)
@@ -78,11 +78,11 @@
         @Test
         fun `a run that is being stopped uses capacity until its end is listed`() {
             connectTarget()
-            desk.dispatch(entry, dispatch(tasks = 2))
+            runManager.dispatch(entry, dispatch(tasks = 2))
             val runs = listOf(confirmStart(0), confirmStart(1))
-            desk.stopJob(entry, JobId("00000000000000a1"))
+            runManager.stopJob(entry, JobId("00000000000000a1"))
             target.stops.forEach { it.answer(true) }
-            desk.dispatch(entry, dispatch(job = "00000000000000a2"))
+            runManager.dispatch(entry, dispatch(job = "00000000000000a2"))
             assertEquals(2, target.starts.size)
             clock.advance(20.milliseconds)
             target.answerLease(ended = runs.map { it to RunEnd.STOPPED })
@@ -92,11 +92,11 @@
         @Test
         fun `free capacity goes to the waiting queue with the highest priority`() {
             connectTarget()
-            desk.dispatch(entry, dispatch(tasks = 2))
+            runManager.dispatch(entry, dispatch(tasks = 2))
             val run = confirmStart(0)
             confirmStart(1)
-            desk.dispatch(entry, dispatch(job = "00000000000000b1", queue = "patient").copy(priority = 2))
-            desk.dispatch(entry, dispatch(job = "00000000000000b2", queue = "urgent").copy(priority = 0))
+            runManager.dispatch(entry, dispatch(job = "00000000000000b1", queue = "patient").copy(priority = 2))
+            runManager.dispatch(entry, dispatch(job = "00000000000000b2", queue = "urgent").copy(priority = 0))
             target.answerLease(ended = listOf(run to RunEnd.DONE))
             val next =
                 target.starts
@@ -109,18 +109,18 @@
         @Test
         fun `a task that gets no capacity in time is returned as not started`() {
             connectTarget()
-            desk.dispatch(entry, dispatch(tasks = 3))
+            runManager.dispatch(entry, dispatch(tasks = 3))
             clock.advance(201.milliseconds)
-            desk.tick()
+            runManager.tick()
             assertEquals(TaskEvent.NOT_STARTED, events().last())
         }
 
         @Test
         fun `nothing starts until the runs of an earlier agent have ended`() {
-            desk.targetNews(news())
+            runManager.targetAnnounced(targetDescription())
             val orphanedRun = RunKey(TaskKey(JobId("00000000000000ff"), 0, 0), 3)
             target.answerLease(running = listOf(orphanedRun))
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             assertEquals(listOf(orphanedRun), target.stops.map { it.run })
             assertEquals(emptyList(), target.starts)
             target.answerLease()
@@ -133,7 +133,7 @@
         @Test
         fun `a run with an unanswered start continues if it is listed`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run =
                 target.starts
                     .single()
@@ -150,7 +150,7 @@
         fun `an unanswered start causes a new lease call at once, and the answer to the earlier call is ignored`() {
             connectTarget()
             val earlierCall = target.leases.last()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run =
                 target.starts
                     .single()
@@ -158,7 +158,7 @@
             target.starts.single().answer(StartResult.NoAnswer)
             assertTrue(target.leases.last() !== earlierCall)
             clock.advance(1.milliseconds)
-            earlierCall.answer(LeaseResult.Listed(life = 1, clock = target.clock, running = emptyMap(), ended = emptyList()))
+            earlierCall.answer(LeaseResult.RunList(life = 1, clock = target.clock, running = emptyMap(), ended = emptyList()))
             assertEquals(emptyList(), target.stops)
             target.answerLease(running = listOf(run))
             assertEquals(listOf(TaskEvent.STARTED), events())
@@ -167,7 +167,7 @@
         @Test
         fun `a run with an unanswered start that is not listed is stopped before its task is returned`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             target.starts.single().answer(StartResult.NoAnswer)
             clock.advance(1.milliseconds)
             target.answerLease()
@@ -191,7 +191,7 @@
         @Test
         fun `a list requested before a start was answered does not end the run`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             clock.advance(1.milliseconds)
             target.answerLease()
             clock.advance(1.milliseconds)
@@ -207,7 +207,7 @@
         @Test
         fun `a run that is no longer listed is stopped before its task is returned`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             confirmStart()
             clock.advance(1.milliseconds)
             target.answerLease()
@@ -219,9 +219,9 @@
         @Test
         fun `a list requested before an order to stop was answered does not free the capacity`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             confirmStart()
-            desk.stopJob(entry, JobId("00000000000000a1"))
+            runManager.stopJob(entry, JobId("00000000000000a1"))
             clock.advance(1.milliseconds)
             target.answerLease()
             clock.advance(1.milliseconds)
@@ -233,12 +233,12 @@
         @Test
         fun `an unanswered order to stop is sent again`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             confirmStart()
-            desk.stopJob(entry, JobId("00000000000000a1"))
+            runManager.stopJob(entry, JobId("00000000000000a1"))
             target.stops.single().answer(false)
             clock.advance(101.milliseconds)
-            desk.tick()
+            runManager.tick()
             assertEquals(2, target.stops.size)
         }
 
@@ -249,24 +249,24 @@
             target.leases.last().answer(LeaseResult.NoAnswer("no connection"))
             assertEquals(callCount, target.leases.size)
             clock.advance(30.milliseconds)
-            desk.tick()
+            runManager.tick()
             assertEquals(callCount + 1, target.leases.size)
-            desk.tick()
+            runManager.tick()
             assertEquals(callCount + 1, target.leases.size, "a call is in progress")
         }
 
         @Test
         fun `runs of an unreachable target are over once their leases have expired`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             confirmStart()
             clock.advance(500.milliseconds)
             target.leases.last().answer(LeaseResult.NoAnswer("no answer"))
-            desk.tick()
-            assertFalse(desk.room().accepting)
+            runManager.tick()
+            assertFalse(runManager.capacityReport().accepting)
             assertEquals(listOf(TaskEvent.STARTED), events())
             clock.advance(800.milliseconds)
-            desk.tick()
+            runManager.tick()
             assertEquals(listOf(TaskEvent.STARTED, TaskEvent.STOPPED), events())
         }
     }
@@ -285,33 +285,33 @@
         @Test
         fun `a stalled run is stopped and raises the reported failure rate`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run = confirmStart()
             reportProgress(5, run) { 30 }
             assertEquals(listOf(run), target.stops.map { it.run })
-            assertTrue(desk.room().failing > 0.2)
+            assertTrue(runManager.capacityReport().failing > 0.2)
         }
 
         @Test
         fun `a slow run continues, and the target is reported as slow`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run = confirmStart()
             reportProgress(8, run) { 10 + it }
             assertEquals(emptyList(), target.stops)
-            assertTrue(desk.room().slowness > 1.5, "${desk.room().slowness}")
+            assertTrue(runManager.capacityReport().slowness > 1.5, "${runManager.capacityReport().slowness}")
         }
 
         @Test
         fun `failed runs raise the reported failure rate, which then decays`() {
             connectTarget()
             repeat(4) {
-                desk.dispatch(entry, dispatch(attempt = it + 1))
+                runManager.dispatch(entry, dispatch(attempt = it + 1))
                 target.answerLease(ended = listOf(confirmStart() to RunEnd.FAILED))
             }
-            assertTrue(desk.room().failing > 0.7)
+            assertTrue(runManager.capacityReport().failing > 0.7)
             clock.advance(8.seconds)
-            assertTrue(desk.room().failing < 0.1)
+            assertTrue(runManager.capacityReport().failing < 0.1)
         }
     }
 
@@ -320,18 +320,18 @@
         @Test
         fun `the runs of an entry are stopped when its link is lost`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run = confirmStart()
-            desk.linkDown(entry)
+            runManager.linkDown(entry)
             assertEquals(listOf(run), target.stops.map { it.run })
         }
 
         @Test
         fun `a task dispatched by another entry does not start while an earlier run of it exists`() {
             connectTarget()
-            desk.dispatch(entry, dispatch(milliCpu = 1000))
+            runManager.dispatch(entry, dispatch(milliCpu = 1000))
             confirmStart()
-            desk.dispatch(otherEntry, dispatch(milliCpu = 1000))
+            runManager.dispatch(otherEntry, dispatch(milliCpu = 1000))
             assertEquals(1, target.starts.size)
             assertEquals(
                 TaskEvent.NOT_STARTED,
@@ -345,11 +345,11 @@
         @Test
         fun `run numbers of a task rise`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run = confirmStart()
             target.answerLease(ended = listOf(run to RunEnd.FAILED))
-            desk.dispatch(entry, dispatch(attempt = 2))
-            desk.dispatch(otherEntry, dispatch(job = "00000000000000a2"))
+            runManager.dispatch(entry, dispatch(attempt = 2))
+            runManager.dispatch(otherEntry, dispatch(job = "00000000000000a2"))
             assertEquals(listOf(1, 2, 1), target.starts.map { it.order.run.number })
         }
     }
@@ -359,8 +359,8 @@
         @Test
         fun `nothing starts at a draining target`() {
             connectTarget()
-            desk.targetNews(news(sequence = 2, draining = true))
-            desk.dispatch(entry, dispatch())
+            runManager.targetAnnounced(targetDescription(sequence = 2, draining = true))
+            runManager.dispatch(entry, dispatch())
             assertEquals(emptyList(), target.starts)
             assertEquals(listOf(TaskEvent.NOT_STARTED), events())
         }
@@ -368,25 +368,25 @@
         @Test
         fun `nothing starts in a zone that is out of service`() {
             connectTarget()
-            desk.setZonesOut(setOf(zone))
-            desk.dispatch(entry, dispatch())
+            runManager.setZonesOut(setOf(zone))
+            runManager.dispatch(entry, dispatch())
             assertEquals(emptyList(), target.starts)
         }
 
         @Test
         fun `outdated announcements are ignored`() {
             connectTarget()
-            assertTrue(desk.targetNews(news(life = 2, sequence = 5)))
-            assertFalse(desk.targetNews(news(life = 1, sequence = 9, draining = true)))
-            assertFalse(desk.targetNews(news(life = 2, sequence = 4, draining = true)))
+            assertTrue(runManager.targetAnnounced(targetDescription(life = 2, sequence = 5)))
+            assertFalse(runManager.targetAnnounced(targetDescription(life = 1, sequence = 9, draining = true)))
+            assertFalse(runManager.targetAnnounced(targetDescription(life = 2, sequence = 4, draining = true)))
         }
 
         @Test
         fun `the runs of a restarted target are over`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             confirmStart()
-            desk.targetNews(news(life = 2))
+            runManager.targetAnnounced(targetDescription(life = 2))
             assertEquals(listOf(TaskEvent.STARTED, TaskEvent.STOPPED), events())
         }
     }
@@ -398,7 +398,7 @@
             target.clock = 5.seconds
             connectTarget()
             clock.advance(100.milliseconds)
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val until =
                 target.starts
                     .single()
@@ -410,7 +410,7 @@
         @Test
         fun `an end is acknowledged with the next lease call`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             val run = confirmStart()
             target.answerLease(ended = listOf(run to RunEnd.DONE))
             assertEquals(1, target.leases.last().acknowledged)
@@ -419,7 +419,7 @@
         @Test
         fun `a fence that is too low is raised`() {
             connectTarget()
-            desk.dispatch(entry, dispatch())
+            runManager.dispatch(entry, dispatch())
             target.starts.single().answer(StartResult.Refused(StartRefusal.FENCED))
             assertTrue(
                 target.starts
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SeededHistoriesTest.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/history/JobsSimulationTest.kt
@@ -16,7 +16,7 @@
  * Runs entries, agents and targets in virtual time with random faults: killed entries and agents, crashed targets, cut and reset links,
  * lost answers and delayed orders.
  */
-class SeededHistoriesTest {
+class JobsSimulationTest {
     private class RandomHistory(
         seed: Int,
     ) {
@@ -35,7 +35,7 @@
             targets.forEach { agents += agent(it) }
             repeat(2) { entries += SimEntry(sim) }
             sim.every(40.milliseconds, { true }) { connect() }
-            sim.every(LinkTiming.BEAT_PERIOD, { true }) { links.forEach { it.sendHeartbeats() } }
+            sim.every(LinkTiming.HEARTBEAT_PERIOD, { true }) { links.forEach { it.sendHeartbeats() } }
         }
 
         private fun agent(target: SimTarget) = SimAgent(sim, target, { hasOrderFaults }, fence++)
@@ -49,7 +49,7 @@
                     links += link
                     entry.links[link.id] = link
                     agent.links[link.id] = link
-                    entry.desk.linkUp(link.id, "agent", io.bluebellramp.core.ZoneId("z"))
+                    entry.scheduler.linkUp(link.id, "agent", io.bluebellramp.core.ZoneId("z"))
                 }
             }
         }
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SimSystem.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SimSystem.kt
@@ -6,21 +6,21 @@
 import io.bluebellramp.jobs.Caller
 import io.bluebellramp.jobs.JobAnswer
 import io.bluebellramp.jobs.JobDecision
-import io.bluebellramp.jobs.JobDesk
 import io.bluebellramp.jobs.JobOutputs
 import io.bluebellramp.jobs.JobRequest
+import io.bluebellramp.jobs.JobScheduler
 import io.bluebellramp.jobs.LeaseResult
 import io.bluebellramp.jobs.LinkId
 import io.bluebellramp.jobs.QUEUE
-import io.bluebellramp.jobs.RunDesk
 import io.bluebellramp.jobs.RunKey
+import io.bluebellramp.jobs.RunManager
 import io.bluebellramp.jobs.RunOutputs
 import io.bluebellramp.jobs.SERVICE
 import io.bluebellramp.jobs.StartOrder
 import io.bluebellramp.jobs.StartRefusal
 import io.bluebellramp.jobs.StartResult
 import io.bluebellramp.jobs.StepRequest
-import io.bluebellramp.jobs.TargetNews
+import io.bluebellramp.jobs.TargetDescription
 import io.bluebellramp.jobs.TargetPort
 import io.bluebellramp.jobs.node.LinkTiming
 import io.bluebellramp.messages.StepDispatch
@@ -102,13 +102,13 @@
 
     fun sendHeartbeats() {
         if (isAgentOpen) {
-            val room = agent.desk.room().copy(received = received)
-            sendToEntry { entry.desk.room(id, room) }
+            val capacity = agent.runManager.capacityReport().copy(received = received)
+            sendToEntry { entry.scheduler.capacityReported(id, capacity) }
         }
         if (isEntryOpen) sendToAgent { }
         val now = sim.monotonic()
-        if (isEntryOpen && now - entryHeardAt > LinkTiming.SILENCE) closeAtEntry()
-        if (isAgentOpen && now - agentHeardAt > LinkTiming.SILENCE) closeAtAgent()
+        if (isEntryOpen && now - entryHeardAt > LinkTiming.LINK_TIMEOUT) closeAtEntry()
+        if (isAgentOpen && now - agentHeardAt > LinkTiming.LINK_TIMEOUT) closeAtAgent()
     }
 
     /** Closes both ends, as after the death of a process or a reset of the connection. */
@@ -121,13 +121,13 @@
         if (!isEntryOpen) return
         isEntryOpen = false
         sendToAgent { closeAtAgent() }
-        if (entry.isAlive) entry.desk.linkDown(id, entryHeardAt)
+        if (entry.isAlive) entry.scheduler.linkDown(id, entryHeardAt)
     }
 
     private fun closeAtAgent() {
         if (!isAgentOpen) return
         isAgentOpen = false
-        if (agent.isAlive) agent.desk.linkDown(id)
+        if (agent.isAlive) agent.runManager.linkDown(id)
     }
 }
 
@@ -136,10 +136,10 @@
 ) {
     val links = HashMap<LinkId, SimLink>()
     var isAlive = true
-    val desk = JobDesk(sim, Outputs(), LinkTiming.LOST_RUN_LIFE, sim.random)
+    val scheduler = JobScheduler(sim, Outputs(), LinkTiming.LOST_LINK_RUN_TIMEOUT, sim.random)
 
     init {
-        sim.every(LinkTiming.TICK, { isAlive }) { desk.tick() }
+        sim.every(LinkTiming.TICK, { isAlive }) { scheduler.tick() }
     }
 
     private inner class Outputs : JobOutputs {
@@ -150,7 +150,7 @@
             val simLink = links[link] ?: return
             simLink.sendToAgent {
                 simLink.addReceived(dispatch.tasks.size)
-                simLink.agent.desk.dispatch(link, dispatch)
+                simLink.agent.runManager.dispatch(link, dispatch)
             }
         }
 
@@ -159,10 +159,10 @@
             job: JobId,
         ) {
             val simLink = links[link] ?: return
-            simLink.sendToAgent { simLink.agent.desk.stopJob(link, job) }
+            simLink.sendToAgent { simLink.agent.runManager.stopJob(link, job) }
         }
 
-        override fun decided(decision: JobDecision) = Unit
+        override fun onDecision(decision: JobDecision) = Unit
     }
 }
 
@@ -175,17 +175,18 @@
 ) {
     val links = HashMap<LinkId, SimLink>()
     var isAlive = true
-    val desk = RunDesk(sim, Port(), Outputs(), ZoneId("z"), LinkTiming.LEASE, fence)
+    val runManager = RunManager(sim, Port(), Outputs(), ZoneId("z"), LinkTiming.RUN_LEASE, fence)
 
     init {
-        sim.every(LinkTiming.TICK, { isAlive }) { desk.tick() }
+        sim.every(LinkTiming.TICK, { isAlive }) { runManager.tick() }
         sim.every(300.milliseconds, { isAlive }) { announceTarget() }
         announceTarget()
     }
 
     fun announceTarget() {
-        val news = TargetNews(target.id, target.life, target.nextSequence(), SERVICE, false, SimTarget.MILLI_CPU, 1000, "10.0.0.1:1")
-        sim.after(sim.messageDelay()) { if (isAlive) desk.targetNews(news) }
+        val description =
+            TargetDescription(target.id, target.life, target.nextSequence(), SERVICE, false, SimTarget.MILLI_CPU, 1000, "10.0.0.1:1")
+        sim.after(sim.messageDelay()) { if (isAlive) runManager.targetAnnounced(description) }
     }
 
     private inner class Port : TargetPort {
@@ -251,12 +252,12 @@
             report: TaskReport,
         ) {
             val simLink = links[link] ?: return
-            simLink.sendToEntry { simLink.entry.desk.report(link, report) }
+            simLink.sendToEntry { simLink.entry.scheduler.report(link, report) }
         }
 
-        override fun roomChanged() = Unit
+        override fun capacityChanged() = Unit
 
-        override fun decided(decision: JobDecision) = Unit
+        override fun onDecision(decision: JobDecision) = Unit
     }
 
     companion object {
@@ -280,7 +281,7 @@
         val entry = entries().randomOrNull(sim.random) ?: return
         val runMillis = 40 + sim.random.nextInt(300)
         val step = StepRequest(1 + sim.random.nextInt(4), SimAgent.TASK_MILLI_CPU, 10, runMillis.milliseconds)
-        val request = JobRequest(id, QUEUE, "$runMillis", listOf(step), patience = 1500.milliseconds)
+        val request = JobRequest(id, QUEUE, "$runMillis", listOf(step), timeout = 1500.milliseconds)
         var isConnected = true
         lateinit var caller: Caller
         caller =
@@ -290,12 +291,12 @@
                 answer = result
                 if (result is JobAnswer.NotRun) checkThatNothingRuns()
             }
-        sim.after(sim.messageDelay()) { if (entry.isAlive) entry.desk.submit(request, caller) }
+        sim.after(sim.messageDelay()) { if (entry.isAlive) entry.scheduler.submit(request, caller) }
         sim.every(20.milliseconds, { isConnected && !isAnswered }) {
             val isInterrupted = !entry.isAlive || sim.chance(0.002)
             if (!isInterrupted) return@every
             isConnected = false
-            sim.after(sim.messageDelay()) { if (entry.isAlive) entry.desk.callerLeft(id, caller) }
+            sim.after(sim.messageDelay()) { if (entry.isAlive) entry.scheduler.callerLeft(id, caller) }
             sim.after(RESEND_DELAY) { if (!isAnswered) send() }
         }
     }
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SimTarget.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SimTarget.kt
@@ -98,7 +98,7 @@
         val list = {
             if (!isAnswered) {
                 isAnswered = true
-                answer(LeaseResult.Listed(life, clock, running.values.associate { it.key to progress(it) }, ended.toList()))
+                answer(LeaseResult.RunList(life, clock, running.values.associate { it.key to progress(it) }, ended.toList()))
             }
         }
         if (ended.isNotEmpty() || wait <= Duration.ZERO) return list()
