--- a/control/src/main/kotlin/io/bluebellramp/control/BoundLink.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/BoundHttpClient.kt
@@ -17,24 +17,25 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-/** Open calls of one link; far above what the log, forwarded calls and copies need. */
-private const val MOST_CALLS = 1024
+/** Concurrent calls of one client; far more than log replication, forwarded calls and copies of claims need. */
+private const val MAX_CONCURRENT_CALLS = 1024
 
-/** Where other processes reach this one. */
+/** The address at which other processes reach this one. */
 internal val ControlSettings.address: Address get() = advertised ?: listen
 
-/** Returns a link to other members that sends from where these settings say. */
-internal fun ControlSettings.memberLink(
+/** Returns an HTTP client for calls to other members, bound to the listen address if the settings ask for it. */
+internal fun ControlSettings.memberHttpClient(
     key: SharedKey?,
     connectTimeout: Duration = 1.seconds,
     timeout: Duration,
-): HttpClient = boundLink(listen.host.takeIf { bindOutgoing }, key, connectTimeout, timeout)
+): HttpClient = boundHttpClient(listen.host.takeIf { bindOutgoing }, key, connectTimeout, timeout)
 
 /**
- * Returns a link like that of the runtime which takes less processor time, and whose connections come from the IP number [host] unless it is
- * null. The JDK's client cannot choose its address before JDK 19.
+ * Returns an HTTP client whose connections originate from the IP address [host], unless it is null.
+ *
+ * It uses OkHttp because the JDK client costs more CPU time and cannot bind a local address before JDK 19.
  */
-internal fun boundLink(
+internal fun boundHttpClient(
     host: String?,
     key: SharedKey? = null,
     connectTimeout: Duration = 1.seconds,
@@ -48,13 +49,13 @@
                 protocols(listOf(Protocol.HTTP_1_1))
                 dispatcher(
                     Dispatcher().apply {
-                        maxRequests = MOST_CALLS
-                        maxRequestsPerHost = MOST_CALLS
+                        maxRequests = MAX_CONCURRENT_CALLS
+                        maxRequestsPerHost = MAX_CONCURRENT_CALLS
                     },
                 )
-                // The client's own time limit starts a coroutine and a timer for each request.
+                // Ktor's own request timeout starts a coroutine and a timer for each request.
                 timeout?.let { callTimeout(it.toJavaDuration()) }
-                // The time limit of the whole request bounds these.
+                // The call timeout already limits reads and writes.
                 readTimeout(0, TimeUnit.MILLISECONDS)
                 writeTimeout(0, TimeUnit.MILLISECONDS)
             }
@@ -62,11 +63,11 @@
         configureLink(key, connectTimeout, timeout = null)
     }
 
-/** Makes sockets that are bound to [local]. */
+/** Creates sockets that are bound to [sourceAddress]. */
 private class BoundSocketFactory(
-    private val local: InetAddress,
+    private val sourceAddress: InetAddress,
 ) : SocketFactory() {
-    override fun createSocket(): Socket = Socket().apply { bind(InetSocketAddress(local, 0)) }
+    override fun createSocket(): Socket = Socket().apply { bind(InetSocketAddress(sourceAddress, 0)) }
 
     override fun createSocket(
         host: String,
--- a/control/src/main/kotlin/io/bluebellramp/control/ClaimStore.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ClaimStore.kt
@@ -4,75 +4,75 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Claims by submission, grouped by the time inside the id, so that a whole group is forgotten at once. */
+/** Claims by submission id, in buckets by the timestamp inside the id, so that a whole bucket expires at once. */
 internal class ClaimStore {
-    private val groups = HashMap<Long, ClaimGroup>()
-    private var firstGroup = Long.MIN_VALUE
+    private val buckets = HashMap<Long, ClaimBucket>()
+    private var firstKeptBucket = Long.MIN_VALUE
 
     /** Number of claims. */
     var size = 0
         private set
 
-    /** Returns the claim on [key]. */
-    operator fun get(key: ClaimKey): StoredClaim? = groups[key.group()]?.get(key)
+    /** Returns the claim on [key], or null. */
+    operator fun get(key: ClaimKey): StoredClaim? = buckets[key.bucket()]?.get(key)
 
-    /** Holds [claim] on [key]. */
+    /** Stores [claim] on [key]. */
     operator fun set(
         key: ClaimKey,
         claim: StoredClaim,
     ) {
-        if (groups.getOrPut(key.group()) { ClaimGroup() }.put(key, claim)) size++
+        if (buckets.getOrPut(key.bucket()) { ClaimBucket() }.put(key, claim)) size++
     }
 
-    /** Forgets the claim on [key]. */
+    /** Removes the claim on [key]. */
     fun remove(key: ClaimKey) {
-        if (groups[key.group()]?.remove(key) == true) size--
+        if (buckets[key.bucket()]?.remove(key) == true) size--
     }
 
-    /** Forgets all groups that end before [time]. */
+    /** Removes all buckets that end before [time]. */
     fun forgetBefore(time: Instant) {
-        val first = groupOf(time)
-        if (first <= firstGroup) return
-        firstGroup = first
-        groups.keys.removeIf { it < first }
-        size = groups.values.sumOf { it.size }
-        val newest = groups.keys.maxOrNull() ?: return
-        groups.forEach { (group, claims) -> if (group < newest - GROWING_GROUPS) claims.trim() }
+        val first = bucketOf(time)
+        if (first <= firstKeptBucket) return
+        firstKeptBucket = first
+        buckets.keys.removeIf { it < first }
+        size = buckets.values.sumOf { it.size }
+        val newest = buckets.keys.maxOrNull() ?: return
+        buckets.forEach { (bucket, claims) -> if (bucket < newest - UNTRIMMED_BUCKETS) claims.trim() }
     }
 
-    /** Returns the claims of the groups from [from] on, as many whole groups as it takes to have [PAGE_CLAIMS]. */
-    fun page(from: Long): ClaimPage {
+    /** Returns whole buckets of claims, starting at [fromBucket], until the page has [MIN_PAGE_CLAIMS]. */
+    fun page(fromBucket: Long): ClaimPage {
         val claims = ArrayList<Pair<ClaimKey, StoredClaim>>()
-        for (group in groups.keys.filter { it >= from }.sorted()) {
-            if (claims.size >= PAGE_CLAIMS) return ClaimPage(claims, next = group)
-            claims += groups.getValue(group).claims()
+        for (bucket in buckets.keys.filter { it >= fromBucket }.sorted()) {
+            if (claims.size >= MIN_PAGE_CLAIMS) return ClaimPage(claims, next = bucket)
+            claims += buckets.getValue(bucket).claims()
         }
         return ClaimPage(claims, next = null)
     }
 
     companion object {
-        private const val TIME_SHIFT = 16
+        private const val TIMESTAMP_SHIFT_BITS = 16
 
-        /** The newest groups still grow; older ones keep no room for more claims. */
-        private const val GROWING_GROUPS = 10
+        /** The newest buckets still grow; older ones are trimmed. */
+        private const val UNTRIMMED_BUCKETS = 10
 
-        /** A page ends with the group that reaches this many claims. */
-        private const val PAGE_CLAIMS = 2_000
+        /** A page ends with the bucket that reaches this many claims. */
+        private const val MIN_PAGE_CLAIMS = 2_000
 
-        /** Span of the times inside the ids of one group, which is copied whole: 2,112 claims at 1,056 a second. */
-        val GROUP_SPAN: Duration = 2.seconds
+        /** Time span of the ids in one bucket, which is copied as a whole: 2,112 claims at 1,056 per second. */
+        val BUCKET_SPAN: Duration = 2.seconds
 
-        /** Returns the group that ids made at [time] belong to. */
-        fun groupOf(time: Instant): Long = Math.floorDiv(time.toEpochMilli(), GROUP_SPAN.inWholeMilliseconds)
+        /** Returns the bucket of ids created at [time]. */
+        fun bucketOf(time: Instant): Long = Math.floorDiv(time.toEpochMilli(), BUCKET_SPAN.inWholeMilliseconds)
 
-        private fun ClaimKey.group(): Long = (high ushr TIME_SHIFT) / GROUP_SPAN.inWholeMilliseconds
+        private fun ClaimKey.bucket(): Long = (high ushr TIMESTAMP_SHIFT_BITS) / BUCKET_SPAN.inWholeMilliseconds
     }
 }
 
 /**
- * Some claims in the order of their groups.
+ * A page of claims in the order of their buckets.
  *
- * @property next the group that comes after them, or null if there is none
+ * @property next the first bucket of the next page, or null if this is the last page
  */
 internal class ClaimPage(
     val claims: List<Pair<ClaimKey, StoredClaim>>,
--- a/control/src/main/kotlin/io/bluebellramp/control/ClaimTable.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ClaimTable.kt
@@ -15,55 +15,55 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.toJavaDuration
-import io.bluebellramp.messages.ClaimTable as ClaimCopy
+import io.bluebellramp.messages.ClaimTable as ClaimTablePage
 
 /**
- * The claims that one member holds in memory. No I/O, one thread at a time.
+ * The claims that one member has granted, in memory. Does no I/O and is not thread-safe.
  *
- * An entry owns a submission once a majority of the voting members granted its claim within [CLAIM_ROUND]. The table keeps
- * any two majorities from having different owners, although a restarted member has forgotten what it granted and members are
- * swapped: see `docs/design/claims.md`.
+ * An entry owns a submission once a majority of the voters granted its claim within [CLAIM_ROUND_TIMEOUT]. The table ensures that no
+ * two majorities grant a submission to different entries, although a restarted member has lost its grants and voters are replaced: see
+ * `docs/design/claims.md`.
  *
  * @param self this member
- * @param life longest life of a lease, in which an entry may still count in an older membership
+ * @param leaseDuration maximum duration of a lease, during which an entry may still count grants under an older membership
  * @param isFounder true if the data folder was empty and the member is not joining. The log lets such a member learn of a
- *   committed membership only if the cluster is new, so nobody has granted anything
- * @param mostClaims a member that holds this many grants no further submission, so that its memory is bounded
+ *   committed membership only in a new cluster, in which no claim has been granted yet
+ * @param maxClaims limit of stored claims, to bound memory; at the limit, claims on new submissions are refused
  */
 class ClaimTable(
     private val self: MemberId,
     private val clock: Clock,
-    private val life: Duration,
+    private val leaseDuration: Duration,
     isFounder: Boolean = false,
-    private val mostClaims: Int = MOST_CLAIMS,
+    private val maxClaims: Int = MAX_CLAIMS,
 ) {
     private val store = ClaimStore()
     private val holders = HashMap<ClaimHolder, ClaimHolder>()
-    private val gap = ClaimGap(self, clock, isFounder)
+    private val completeness = ClaimCompleteness(self, clock, isFounder)
     private var voters = emptySet<MemberId>()
     private var version = NO_VERSION
     private var forgottenBefore = Instant.MIN
 
-    /** Number of claims held. */
+    /** Number of stored claims. */
     val size: Int get() = store.size
 
-    /** What a copy of another member's claims must be for [merge] to take it. */
-    val need: CopyNeed get() = gap.need
+    /** Requirement on another member's state for [merge] to accept a copy of its claims. */
+    val copyRequirement: CopyRequirement get() = completeness.copyRequirement
 
-    /** Voting members whose claims must still be copied. */
-    fun missing(): Set<MemberId> = gap.missing()
+    /** Voters whose claims must still be copied. */
+    fun uncopiedMembers(): Set<MemberId> = completeness.uncopiedMembers()
 
-    /** Tells whether the table knows all that it must know to judge every submission. */
-    fun isWhole(): Boolean = gap.isClosed()
+    /** Returns whether the table can decide the claim on every submission. */
+    fun isComplete(): Boolean = completeness.isComplete()
 
-    /** Tells whether the bound is reached: no new submission is granted and no copy taken until claims have expired. */
+    /** Returns whether the limit is reached: until claims expire, no new submission is granted and no copied claim is added. */
     fun isFull(): Boolean {
-        if (store.size >= mostClaims) forgetExpired()
-        return store.size >= mostClaims
+        if (store.size >= maxClaims) forgetExpired()
+        return store.size >= maxClaims
     }
 
-    /** Notes that [voters] count claims as of [version], the log index of the membership. */
-    fun join(
+    /** Sets the [voters] that grant claims. [version] is the log index of the membership. */
+    fun setMembership(
         version: Long,
         voters: Set<MemberId>,
     ) {
@@ -71,143 +71,144 @@
         this.version = version
         if (voters == this.voters) return
         this.voters = voters
-        gap.open(voters, floor = now() + (FUTURE_SLACK + life + CLAIM_ROUND).toJavaDuration())
+        completeness.setMembership(voters, unknownUntil = now() + (MAX_CLOCK_SKEW + leaseDuration + CLAIM_ROUND_TIMEOUT).toJavaDuration())
     }
 
-    /** Judges the claims of [request]. The verdicts are empty if the membership versions differ. */
+    /** Grants or refuses the claims of [request]. Returns no verdicts if the membership versions differ. */
     fun claim(request: ClaimRequest): ClaimResponse {
         forgetExpired()
         val isCounted = request.membership == version && self in voters
-        val verdicts = if (isCounted) request.claims.map { judge(it, request.holder, request.sequence) } else emptyList()
+        val verdicts = if (isCounted) request.claims.map { decide(it, request.holder, request.sequence) } else emptyList()
         return ClaimResponse(membership = version, verdicts = verdicts)
     }
 
-    /** Gives up the claims of [release] that its incarnation holds here. */
+    /** Releases the claims of [release] that its incarnation holds here. */
     fun release(release: ClaimRelease) {
         release.submissions.forEach { release(ClaimKey.of(it), release) }
     }
 
-    /** Returns a page of the claims from group [from] on (see [firstGroup]), complete if it is good enough for [need]. */
-    fun copy(
-        need: CopyNeed,
-        from: Long,
-    ): ClaimCopy {
+    /** Returns a page of the claims from [fromBucket] on (see [firstBucket]), marked complete if it satisfies [copyRequirement]. */
+    fun page(
+        copyRequirement: CopyRequirement,
+        fromBucket: Long,
+    ): ClaimTablePage {
         forgetExpired()
-        val page = store.page(from)
-        val claims = page.claims.flatMap { (key, claim) -> claim.all().map { it.held(key) } }
-        return ClaimCopy(membership = version, complete = gap.satisfies(need), claims = claims, next = page.next)
+        val page = store.page(fromBucket)
+        val claims = page.claims.flatMap { (key, claim) -> claim.allClaims().map { it.toHeldClaim(key) } }
+        return ClaimTablePage(membership = version, complete = completeness.satisfies(copyRequirement), claims = claims, next = page.next)
     }
 
-    /** Returns the oldest group in which a member may hold claims. */
-    fun firstGroup(): Long = ClaimStore.groupOf(now() - (KEPT + CLOCK_MARGIN).toJavaDuration())
+    /** Returns the oldest time bucket in which a member may hold claims. */
+    fun firstBucket(): Long = ClaimStore.bucketOf(now() - (RETENTION + CLOCK_MARGIN).toJavaDuration())
 
     /**
-     * Takes over what [member] holds, given as all pages of its claims.
+     * Adds all claims of [member], given as all pages of its table.
      *
-     * @return false if the copies do not count, because the member is itself incomplete or in an older membership
+     * @return false if the pages are unusable because the member is itself incomplete or in an older membership
      */
     fun merge(
         member: MemberId,
-        copies: List<ClaimCopy>,
+        pages: List<ClaimTablePage>,
     ): Boolean {
-        if (member !in missing() || !copies.all(::counts)) return false
-        if (!copies.all(::mergePart)) return false
-        return finishCopy(member, copies.minOfOrNull { it.membership } ?: version)
+        if (member !in uncopiedMembers() || !pages.all(::isUsable)) return false
+        if (!pages.all(::mergePage)) return false
+        return finishCopy(member, pages.minOfOrNull { it.membership } ?: version)
     }
 
     /**
-     * Takes over a page of the claims that another member holds. Each is a grant that the member made, so it may be known before
-     * all pages are copied; [finishCopy] says that they are.
+     * Adds a page of the claims of another member. Each is a valid grant by itself, so it may be added before all pages are copied;
+     * call [finishCopy] after the last page.
      *
-     * @return false if the copy does not count, because the member is itself incomplete or in an older membership, or this table is full
+     * @return false if the page is unusable because the member is itself incomplete or in an older membership, or this table is full
      */
-    fun mergePart(copy: ClaimCopy): Boolean {
-        if (!counts(copy)) return false
-        return copy.claims.all(::merge)
+    fun mergePage(page: ClaimTablePage): Boolean {
+        if (!isUsable(page)) return false
+        return page.claims.all(::merge)
     }
 
     /**
-     * Notes that all pages of [member] were merged, each copied in membership [version] or later.
+     * Records that all pages of [member] were merged, each copied under membership [version] or later.
      *
-     * @return false if they do not count, because the membership has changed meanwhile
+     * @return false if they are unusable because the membership has changed since
      */
     fun finishCopy(
         member: MemberId,
         version: Long,
     ): Boolean {
-        if (member !in missing() || version < this.version) return false
-        gap.copied(member)
+        if (member !in uncopiedMembers() || version < this.version) return false
+        completeness.markCopied(member)
         return true
     }
 
-    private fun counts(copy: ClaimCopy) = copy.complete && copy.membership >= version
+    private fun isUsable(page: ClaimTablePage) = page.complete && page.membership >= version
 
-    private fun judge(
+    private fun decide(
         claim: Claim,
         holder: ClaimHolder,
         sequence: Long,
     ): ClaimVerdict {
         val digest = ClaimDigest.parse(claim.digest)
-        if (digest == null || !isJudged(claim.submission)) return ClaimVerdict(granted = false)
+        if (digest == null || !canDecide(claim.submission)) return ClaimVerdict(granted = false)
         val key = ClaimKey.of(claim.submission)
         val held = store[key]
-        val asked = StoredClaim(digest, shared(holder), sequence, isTakenOver = claim.takeover != null)
+        val requested = StoredClaim(digest, interned(holder), sequence, isTakenOver = claim.takeover != null)
         val granted =
             when {
                 held == null && isFull() -> return ClaimVerdict(granted = false)
-                held == null -> asked
-                held.rivals != null || held.isLost(asked) -> return ClaimVerdict(granted = false)
+                held == null -> requested
+                held.conflicts != null || held.isOrdinaryClaimAfterTakeover(requested) -> return ClaimVerdict(granted = false)
                 held.digest != digest -> null
-                held.holder.incarnation == holder.incarnation -> held.again(asked)
-                held.holder.incarnation == claim.takeover -> asked
+                held.holder.incarnation == holder.incarnation -> held.renewedBy(requested)
+                held.holder.incarnation == claim.takeover -> requested
                 else -> null
             } ?: return ClaimVerdict(granted = false, holder = held?.holder, digest = held?.digest?.hex())
         store[key] = granted
         return ClaimVerdict(granted = true, holder = holder, digest = claim.digest)
     }
 
-    /** Tells whether [asked] is its holder's claim to own what it only took over. */
-    private fun StoredClaim.isLost(asked: StoredClaim) = isTakenOver && !asked.isTakenOver && holder.incarnation == asked.holder.incarnation
+    /** Returns whether [requested] is an ordinary claim of the incarnation that took this claim over. It is refused. */
+    private fun StoredClaim.isOrdinaryClaimAfterTakeover(requested: StoredClaim) =
+        isTakenOver && !requested.isTakenOver && holder.incarnation == requested.holder.incarnation
 
-    /** An id that is expired, from the future, or older than what this member may have forgotten gets no verdict. */
-    private fun isJudged(id: SubmissionId): Boolean {
-        val made = id.instant
+    /** Returns false for an id that is expired, too far in the future, or so old that this member may not know a grant of it. */
+    private fun canDecide(id: SubmissionId): Boolean {
+        val createdAt = id.instant
         val now = now()
-        if (made < forgottenBefore || made + SUBMISSION_LIFE.toJavaDuration() <= now) return false
-        if (made > now + FUTURE_SLACK.toJavaDuration()) return false
-        return isWhole() || made > gap.floor()
+        if (createdAt < forgottenBefore || createdAt + SUBMISSION_LIFETIME.toJavaDuration() <= now) return false
+        if (createdAt > now + MAX_CLOCK_SKEW.toJavaDuration()) return false
+        return isComplete() || createdAt > completeness.unknownUntil()
     }
 
     private fun release(
         key: ClaimKey,
         release: ClaimRelease,
     ) {
-        val left = store[key]?.release(release.incarnation, release.sequence)
-        if (left == null) store.remove(key) else store[key] = left
+        val remaining = store[key]?.release(release.incarnation, release.sequence)
+        if (remaining == null) store.remove(key) else store[key] = remaining
     }
 
-    /** Adds [held], and returns false if there is no room for it. */
+    /** Adds [held]; returns false if the table is full. */
     private fun merge(held: HeldClaim): Boolean {
         val key = ClaimKey.of(held.submission)
         if (store[key] == null && isFull()) return false
-        val claim = StoredClaim(digestOf(held.digest), shared(held.holder), held.sequence, held.takenOver)
+        val claim = StoredClaim(digestOf(held.digest), interned(held.holder), held.sequence, held.takenOver)
         store[key] = store[key]?.merge(claim) ?: claim
         return true
     }
 
     private fun digestOf(hex: String): ClaimDigest = requireNotNull(ClaimDigest.parse(hex)) { "$hex is not a digest" }
 
-    /** Returns one object for equal holders, which keeps a claim small. */
-    private fun shared(holder: ClaimHolder): ClaimHolder {
-        if (holders.size > SHARED_HOLDERS) holders.clear()
+    /** Returns the same object for equal holders, to save memory. */
+    private fun interned(holder: ClaimHolder): ClaimHolder {
+        if (holders.size > MAX_INTERNED_HOLDERS) holders.clear()
         return holders.getOrPut(holder) { holder }
     }
 
     private fun forgetExpired() {
-        val before = now() - KEPT.toJavaDuration()
-        if (before <= forgottenBefore) return
-        forgottenBefore = before
-        store.forgetBefore(before)
+        val cutoff = now() - RETENTION.toJavaDuration()
+        if (cutoff <= forgottenBefore) return
+        forgottenBefore = cutoff
+        store.forgetBefore(cutoff)
     }
 
     private fun now(): Instant = clock.wall()
@@ -215,20 +216,20 @@
     companion object {
         private const val NO_VERSION = -1L
 
-        /** 1,056 submissions a second over the 11 min that a claim is kept. */
-        const val MOST_CLAIMS = 700_000
-        private const val SHARED_HOLDERS = 10_000
+        /** 1,056 submissions per second over the 11 minutes for which a claim is kept. */
+        const val MAX_CLAIMS = 700_000
+        private const val MAX_INTERNED_HOLDERS = 10_000
 
-        /** Longest life of a submission, counted from the time inside its id. */
-        val SUBMISSION_LIFE = SubmissionId.LIFE
+        /** Maximum lifetime of a submission, counted from the timestamp in its id. */
+        val SUBMISSION_LIFETIME = SubmissionId.LIFE
 
-        /** How far the clocks of callers, entries and members may differ. */
-        val FUTURE_SLACK = SubmissionId.CLOCK_SKEW
+        /** Maximum difference between the clocks of callers, entries and members. */
+        val MAX_CLOCK_SKEW = SubmissionId.CLOCK_SKEW
 
-        /** An entry counts grants only if all came within this time of its sending the request. */
-        val CLAIM_ROUND = 1000.milliseconds
+        /** An entry counts only grants that arrive within this time after it sent the request. */
+        val CLAIM_ROUND_TIMEOUT = 1000.milliseconds
 
         private val CLOCK_MARGIN = 1.minutes
-        private val KEPT = SUBMISSION_LIFE + CLOCK_MARGIN
+        private val RETENTION = SUBMISSION_LIFETIME + CLOCK_MARGIN
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/ConfigurationMachine.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ConfigurationStateMachine.kt
@@ -16,20 +16,20 @@
 import kotlinx.serialization.json.JsonObject
 
 /**
- * The replicated configuration: base file, overlays, and what is out of service.
+ * State machine of the replicated configuration: base file, overlays, and the zones and targets out of service.
  *
- * Use [apply] from the log only. Each command is a [ChangeRequest] and each answer a [ChangeResponse]. A change applies whole
- * if it is based on the current revision and the result is valid; then the revision grows by one.
+ * Only the log may call [apply]. Each command is a [ChangeRequest] and each result a [ChangeResponse], both as JSON. A change applies
+ * atomically if it is based on the current revision and the result is valid; the revision then increases by one.
  *
- * @param rememberedChanges how many decided changes are kept to answer a resend
+ * @param maxDecidedChanges how many decided changes are kept to answer resent requests
  */
-class ConfigurationMachine(
-    rememberedChanges: Int = REMEMBERED_CHANGES,
+class ConfigurationStateMachine(
+    maxDecidedChanges: Int = MAX_DECIDED_CHANGES,
 ) : StateMachine {
-    private val remembered = RememberedChanges(rememberedChanges)
+    private val decidedChanges = DecidedChanges(maxDecidedChanges)
     private val current = MutableStateFlow(EMPTY)
 
-    /** The accepted configuration as of the last applied command. */
+    /** The accepted configuration after the last applied command. */
     val configuration: StateFlow<ConfigurationView> = current.asStateFlow()
 
     override fun apply(
@@ -37,51 +37,51 @@
         command: String,
     ): String {
         val request = WireJson.decodeFromString<ChangeRequest>(command)
-        return WireJson.encodeToString(ChangeResponse.serializer(), answerTo(request) ?: decide(request))
+        return WireJson.encodeToString(ChangeResponse.serializer(), previousAnswer(request) ?: decide(request))
     }
 
     /**
-     * Returns the answer to [request] if it is already certain, or null if it must be proposed.
+     * Returns the response to [request] if it is known without a proposal, or null if the change must be proposed.
      *
-     * It is certain if the change was decided before, or if it is based on the current revision and invalid there.
+     * It is known if the change was decided before, or if it is based on the current revision and invalid.
      */
     fun precheck(request: ChangeRequest): ChangeResponse? {
-        answerTo(request)?.let { return it }
+        previousAnswer(request)?.let { return it }
         val view = current.value
         if (request.basedOn != view.revision) return null
-        val violations = ConfigurationRules.violations(request, view, view.with(request))
+        val violations = ConfigurationValidator.violations(request, view, view.withChange(request))
         return if (violations.isEmpty()) null else view.refusal(request, violations)
     }
 
-    /** Returns the first answer to the change with [id], or null if it is not remembered. */
-    fun answer(id: ChangeId): ChangeResponse? = remembered[id]?.response
+    /** Returns the first response to the change with [id], or null if it is no longer kept. */
+    fun answer(id: ChangeId): ChangeResponse? = decidedChanges[id]?.response
 
-    override fun snapshot(): String = WireJson.encodeToString(Snapshot(current.value, remembered.all()))
+    override fun snapshot(): String = WireJson.encodeToString(Snapshot(current.value, decidedChanges.all()))
 
     override fun restore(snapshot: String) {
         val state = WireJson.decodeFromString<Snapshot>(snapshot)
-        remembered.replace(state.remembered)
+        decidedChanges.replace(state.remembered)
         current.value = state.configuration
     }
 
-    private fun answerTo(request: ChangeRequest): ChangeResponse? {
-        val known = remembered[request.change] ?: return null
-        if (known.digest == request.digest()) return known.response
+    private fun previousAnswer(request: ChangeRequest): ChangeResponse? {
+        val earlier = decidedChanges[request.change] ?: return null
+        if (earlier.digest == request.digest()) return earlier.response
         val violation = Violation(path = "$.change", message = "the id ${request.change} was used for another change")
         return current.value.refusal(request, listOf(violation))
     }
 
     private fun decide(request: ChangeRequest): ChangeResponse {
         val view = current.value
-        val next = view.with(request)
+        val next = view.withChange(request)
         val response =
             if (request.basedOn != view.revision) {
                 view.conflict(request)
             } else {
-                val violations = ConfigurationRules.violations(request, view, next)
+                val violations = ConfigurationValidator.violations(request, view, next)
                 if (violations.isEmpty()) accepted(request, next.revision) else view.refusal(request, violations)
             }
-        remembered.add(RememberedChange(response, request.digest(), request.author))
+        decidedChanges.add(DecidedChange(response, request.digest(), request.author))
         if (response.outcome == ChangeOutcome.ACCEPTED) current.value = next
         return response
     }
@@ -96,7 +96,7 @@
             change = request.change,
             outcome = ChangeOutcome.CONFLICT,
             revision = revision,
-            winner = remembered.winner(request.basedOn.next()),
+            winner = decidedChanges.winner(request.basedOn.next()),
         )
 
     private fun ConfigurationView.refusal(
@@ -104,7 +104,7 @@
         violations: List<Violation>,
     ) = ChangeResponse(change = request.change, outcome = ChangeOutcome.INVALID, revision = revision, violations = violations)
 
-    private fun ConfigurationView.with(request: ChangeRequest) =
+    private fun ConfigurationView.withChange(request: ChangeRequest) =
         ConfigurationView(
             revision = revision.next(),
             base = request.base ?: base,
@@ -116,14 +116,14 @@
     @Serializable
     private data class Snapshot(
         val configuration: ConfigurationView,
-        val remembered: List<RememberedChange>,
+        val remembered: List<DecidedChange>,
     )
 
-    /** The configuration before any change. */
+    /** Holds the initial configuration. */
     companion object {
-        private const val REMEMBERED_CHANGES = 10_000
+        private const val MAX_DECIDED_CHANGES = 10_000
 
-        /** An empty base file at revision 0. */
+        /** The configuration before any change: an empty base file at revision 0. */
         val EMPTY =
             ConfigurationView(
                 revision = Revision.ZERO,
--- a/control/src/main/kotlin/io/bluebellramp/control/ConfigurationRules.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ConfigurationValidator.kt
@@ -11,25 +11,25 @@
 import kotlinx.serialization.json.JsonObject
 import kotlinx.serialization.json.decodeFromJsonElement
 
-/** Checks a configuration as a whole: the base file, each site's merged result, and what zones a change names. */
-internal object ConfigurationRules {
-    private const val TYPE = "Configuration"
-    private val plainName = Regex("^[A-Za-z_][A-Za-z0-9_]*$")
-    private val id = Regex("^[a-z0-9][a-z0-9.-]{0,62}$")
+/** Validates a changed configuration: the base file, each site's merged configuration, and the zones and targets in the change. */
+internal object ConfigurationValidator {
+    private const val SCHEMA_TYPE = "Configuration"
+    private val plainNamePattern = Regex("^[A-Za-z_][A-Za-z0-9_]*$")
+    private val idPattern = Regex("^[a-z0-9][a-z0-9.-]{0,62}$")
 
-    /** Returns every violation of [next], which [request] makes of [old], with JSON paths into the request. */
+    /** Returns all violations in [next], the result of applying [request] to [old], with JSON paths into the request. */
     fun violations(
         request: ChangeRequest,
         old: ConfigurationView,
         next: ConfigurationView,
     ): List<Violation> {
-        val base = SchemaValidator.violations(next.base.toString(), TYPE)
-        val placed = base.map { it.under("$.base") }
-        val merged = next.overlays.flatMap { (site, overlay) -> mergedViolations(next.base, site, overlay, base) }
-        if (base.isNotEmpty()) return placed + merged
+        val baseViolations = SchemaValidator.violations(next.base.toString(), SCHEMA_TYPE)
+        val violationsInBase = baseViolations.map { it.withPathPrefix("$.base") }
+        val violationsInOverlays = next.overlays.flatMap { (site, overlay) -> mergedViolations(next.base, site, overlay, baseViolations) }
+        if (baseViolations.isNotEmpty()) return violationsInBase + violationsInOverlays
         val configuration = StrictJson.decodeFromJsonElement<Configuration>(next.base)
-        return merged + configuration.idViolations() + next.overlayViolations(configuration) +
-            configuration.zoneViolations() + request.serviceViolations(old, next, configuration)
+        return violationsInOverlays + configuration.idViolations() + next.overlayViolations(configuration) +
+            configuration.zoneViolations() + request.outOfServiceViolations(old, next, configuration)
     }
 
     private fun mergedViolations(
@@ -38,42 +38,42 @@
         overlay: JsonObject,
         known: List<Violation>,
     ): List<Violation> {
-        val found = SchemaValidator.violations(mergePatch(base, overlay).toString(), TYPE)
-        return found.filter { it !in known }.map { it.under("$.overlays${step(site)}") }
+        val found = SchemaValidator.violations(mergePatch(base, overlay).toString(), SCHEMA_TYPE)
+        return found.filter { it !in known }.map { it.withPathPrefix("$.overlays${pathStep(site)}") }
     }
 
     private fun Configuration.idViolations(): List<Violation> =
-        badIds("services", services.keys) + badIds("teams", teams.keys) + badIds("sites", sites.keys)
+        invalidIds("services", services.keys) + invalidIds("teams", teams.keys) + invalidIds("sites", sites.keys)
 
-    private fun badIds(
+    private fun invalidIds(
         name: String,
         ids: Set<String>,
     ): List<Violation> =
         ids
             .filterNot {
-                id.matches(
+                idPattern.matches(
                     it,
                 )
-            }.map { Violation(path = "$.base.$name${step(it)}", message = "is not an id: it must match ${id.pattern}") }
+            }.map { Violation(path = "$.base.$name${pathStep(it)}", message = "is not an id: it must match ${idPattern.pattern}") }
 
     private fun ConfigurationView.overlayViolations(configuration: Configuration): List<Violation> {
         val unknown = overlays.keys.filter { it !in configuration.sites }
-        val moved = overlays.filterValues { "sites" in it }.keys
-        return unknown.map { Violation(path = "$.overlays${step(it)}", message = "the base file has no site $it") } +
-            moved.map { Violation(path = "$.overlays${step(it)}.sites", message = "an overlay cannot change sites") }
+        val withSites = overlays.filterValues { "sites" in it }.keys
+        return unknown.map { Violation(path = "$.overlays${pathStep(it)}", message = "the base file has no site $it") } +
+            withSites.map { Violation(path = "$.overlays${pathStep(it)}.sites", message = "an overlay cannot change sites") }
     }
 
     private fun Configuration.zoneViolations(): List<Violation> {
         val seen = mutableSetOf<ZoneId>()
         return sites.flatMap { (name, site) ->
             site.zones.mapIndexedNotNull { index, zone ->
-                val path = "$.base.sites${step(name)}.zones[$index]"
+                val path = "$.base.sites${pathStep(name)}.zones[$index]"
                 if (seen.add(zone)) null else Violation(path = path, message = "zone $zone is listed twice")
             }
         }
     }
 
-    private fun ChangeRequest.serviceViolations(
+    private fun ChangeRequest.outOfServiceViolations(
         old: ConfigurationView,
         next: ConfigurationView,
         configuration: Configuration,
@@ -88,7 +88,7 @@
             zonesOut,
             known,
         ) + unknownZones("zonesIn", zonesIn, known + old.zonesOut) +
-            both("zonesIn", zonesOut, zonesIn) + both("targetsIn", targetsOut, targetsIn) +
+            inBothLists("zonesIn", zonesOut, zonesIn) + inBothLists("targetsIn", targetsOut, targetsIn) +
             removed.map {
                 Violation(
                     path = "$.base.sites",
@@ -106,17 +106,17 @@
             if (zone in known) null else Violation(path = "$.$name[$index]", message = "no site has a zone $zone")
         }
 
-    private fun <T> both(
+    private fun <T> inBothLists(
         name: String,
-        out: List<T>,
-        back: List<T>,
+        takenOut: List<T>,
+        returned: List<T>,
     ): List<Violation> =
-        back.mapIndexedNotNull { index, it ->
-            if (it in out) Violation(path = "$.$name[$index]", message = "$it is also taken out by this change") else null
+        returned.mapIndexedNotNull { index, it ->
+            if (it in takenOut) Violation(path = "$.$name[$index]", message = "$it is also taken out by this change") else null
         }
 
-    /** Returns the step of a JSON path to the member [name]. */
-    private fun step(name: String) = if (plainName.matches(name)) ".$name" else "['$name']"
+    /** Returns the JSON path segment for the key [name]. */
+    private fun pathStep(name: String) = if (plainNamePattern.matches(name)) ".$name" else "['$name']"
 
-    private fun Violation.under(prefix: String) = copy(path = prefix + path.removePrefix("$"))
+    private fun Violation.withPathPrefix(prefix: String) = copy(path = prefix + path.removePrefix("$"))
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/Control.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/Control.kt
@@ -11,31 +11,31 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * What one control process is made of.
+ * The components of one control process.
  *
  * @param isFounder see [ClaimTable]
  */
 class Control(
     private val settings: ControlSettings,
     val log: ReplicatedLog,
-    val machine: ConfigurationMachine,
+    val machine: ConfigurationStateMachine,
     clock: Clock,
     isFounder: Boolean = false,
 ) : Health {
-    private val life = settings.permitLifeMillis.milliseconds
+    private val leaseDuration = settings.permitLifeMillis.milliseconds
 
-    /** Judges claims. */
-    val claims = ClaimDesk(settings.member, log, clock, life, isFounder, settings.mostClaims)
+    /** Grants, refuses and copies claims. */
+    val claims = ClaimManager(settings.member, log, clock, leaseDuration, isFounder, settings.mostClaims)
 
     /** Answers lease requests. */
-    val leases = LeaseDesk(log, machine, clock, life) { claims.members() }
+    val leases = LeaseManager(log, machine, clock, leaseDuration) { claims.members() }
 
-    /** Takes changes to the log. */
-    val changes = ChangeDesk(log, machine, leases, clock)
+    /** Submits configuration changes. */
+    val changes = ConfigurationChangeManager(log, machine, leases, clock)
 
     override fun isReady(): Boolean = log.status().leader != null
 
-    /** Returns what this process knows of the system. */
+    /** Returns the state of the system as this process knows it. */
     fun status(): StatusView {
         val status = log.status()
         return StatusView(
--- a/control/src/main/kotlin/io/bluebellramp/control/ControlMetrics.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ControlMetrics.kt
@@ -19,13 +19,13 @@
     }
     registry.gauge("bluebellramp_control_revision_in_force", "Revision in force, or -1 if unknown here") {
         control.leases.revisionInForce()?.value
-            ?: UNKNOWN
+            ?: UNKNOWN_REVISION
     }
-    registry.gauge("bluebellramp_control_leases", "Entries whose lease may be alive") { control.leases.leases() }
-    registry.gauge("bluebellramp_control_claims", "Claims held in memory") { control.claims.size() }
+    registry.gauge("bluebellramp_control_leases", "Entries whose lease may be alive") { control.leases.leaseCount() }
+    registry.gauge("bluebellramp_control_claims", "Claims held in memory") { control.claims.claimCount() }
     registry.gauge("bluebellramp_control_claims_whole", "1 while every submission can be judged here") {
-        if (control.claims.isWhole()) 1 else 0
+        if (control.claims.isComplete()) 1 else 0
     }
 }
 
-private const val UNKNOWN = -1
+private const val UNKNOWN_REVISION = -1
--- a/control/src/main/kotlin/io/bluebellramp/control/ControlProgram.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ControlProgram.kt
@@ -20,12 +20,12 @@
 import kotlinx.coroutines.launch
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
-import io.bluebellramp.messages.ClaimTable as ClaimCopy
+import io.bluebellramp.messages.ClaimTable as ClaimTablePage
 
 /**
- * A control process that listens: HTTP server, links to the other members, and copies of claims.
+ * A running control process: HTTP server, HTTP client for the other members, and copying of claims.
  *
- * @param closeLog stops the log and syncs it; called once nothing else uses it
+ * @param closeLog stops the log and syncs it to disk; called after everything else has stopped
  */
 class ControlProgram(
     settings: ControlSettings,
@@ -35,7 +35,7 @@
     private val closeLog: () -> Unit,
 ) : RunningProgram {
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
-    private val client: HttpClient = settings.memberLink(key, timeout = CALL_TIMEOUT)
+    private val client: HttpClient = settings.memberHttpClient(key, timeout = CALL_TIMEOUT)
     private val server =
         httpServer(settings.listen, control, registry, key) {
             operatorRoutes(control, LeaderForwarder(control.log, client))
@@ -43,10 +43,10 @@
             memberRoutes(control)
         }
 
-    /** Starts to listen. */
+    /** Starts the server and the background tasks. */
     fun start() {
         server.start(wait = false)
-        scope.launch { control.leases.noteRevisions() }
+        scope.launch { control.leases.trackAcceptedRevisions() }
         scope.launch { copyClaims() }
     }
 
@@ -59,32 +59,32 @@
 
     private suspend fun copyClaims() {
         while (scope.isActive) {
-            delay(if (control.claims.isWhole()) WATCH_PERIOD else COPY_PERIOD)
-            control.claims.copyMissing(::fetch)
+            delay(if (control.claims.isComplete()) MEMBERSHIP_CHECK_INTERVAL else COPY_RETRY_INTERVAL)
+            control.claims.copyMissingClaims(::fetchClaims)
         }
     }
 
-    private suspend fun fetch(
-        from: MemberAddress,
-        need: CopyNeed,
-        group: Long,
-    ): ClaimCopy? =
+    private suspend fun fetchClaims(
+        source: MemberAddress,
+        copyRequirement: CopyRequirement,
+        fromBucket: Long,
+    ): ClaimTablePage? =
         try {
-            val response = client.get("http://${from.address}/claims/table?need=${need.name.lowercase()}&from=$group")
-            if (response.status.isSuccess()) response.body<ClaimCopy>() else null
+            val response = client.get("http://${source.address}/claims/table?need=${copyRequirement.name.lowercase()}&from=$fromBucket")
+            if (response.status.isSuccess()) response.body<ClaimTablePage>() else null
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
-            // Whatever went wrong, no copy came; it is asked for again.
+            // The copy is retried after any failure.
             null
         }
 
     private companion object {
-        /** Longest time of a forwarded call; a little over the longest wait until a change is in force. */
+        /** Longer than the wait of a forwarded call until its change is in force (3.3 s). */
         val CALL_TIMEOUT = 5.seconds
 
-        /** How often a member that lacks no claims looks whether the members have changed. */
-        val WATCH_PERIOD = 500.milliseconds
-        val COPY_PERIOD = 100.milliseconds
+        /** How often a member with all claims checks whether the membership has changed. */
+        val MEMBERSHIP_CHECK_INTERVAL = 500.milliseconds
+        val COPY_RETRY_INTERVAL = 100.milliseconds
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/RememberedChanges.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/DecidedChanges.kt
@@ -8,47 +8,47 @@
 import kotlinx.serialization.Serializable
 
 /**
- * A change that was decided, with its first answer.
+ * A change that was accepted or rejected, with its first response.
  *
- * @property digest tells a resend from another change under the same id
+ * @property digest distinguishes a resent request from a different change with the same id
  */
 @Serializable
-internal data class RememberedChange(
+internal data class DecidedChange(
     val response: ChangeResponse,
     val digest: String,
     val author: String? = null,
 )
 
-/** The last [limit] decided changes. A resend of a forgotten change is based on an old revision, so it cannot apply twice. */
-internal class RememberedChanges(
+/** The last [limit] decided changes. A change no longer kept is based on an old revision, so a resend of it cannot apply twice. */
+internal class DecidedChanges(
     private val limit: Int,
 ) {
-    private val byId = LinkedHashMap<ChangeId, RememberedChange>()
+    private val byId = LinkedHashMap<ChangeId, DecidedChange>()
     private val byRevision = HashMap<Revision, ChangeWinner>()
 
-    /** Returns the change with [id] if it is remembered. */
+    /** Returns the change with [id], or null if it is not kept. */
     @Synchronized
-    operator fun get(id: ChangeId): RememberedChange? = byId[id]
+    operator fun get(id: ChangeId): DecidedChange? = byId[id]
 
-    /** Returns the change that made [revision] if it is remembered. */
+    /** Returns the change that created [revision], or null if it is not kept. */
     @Synchronized
     fun winner(revision: Revision): ChangeWinner? = byRevision[revision]
 
-    /** Remembers [change] and forgets the oldest one beyond the limit. */
+    /** Adds [change] and removes the oldest one beyond the limit. */
     @Synchronized
-    fun add(change: RememberedChange) {
+    fun add(change: DecidedChange) {
         byId[change.response.change] = change
         change.winner()?.let { byRevision[it.revision] = it }
         if (byId.size > limit) forgetOldest()
     }
 
-    /** Returns all remembered changes, oldest first. */
+    /** Returns all kept changes, oldest first. */
     @Synchronized
-    fun all(): List<RememberedChange> = byId.values.toList()
+    fun all(): List<DecidedChange> = byId.values.toList()
 
-    /** Replaces all remembered changes by [changes]. */
+    /** Replaces all kept changes with [changes]. */
     @Synchronized
-    fun replace(changes: List<RememberedChange>) {
+    fun replace(changes: List<DecidedChange>) {
         byId.clear()
         byRevision.clear()
         changes.forEach(::add)
@@ -60,7 +60,7 @@
         oldest.value.winner()?.let { byRevision.remove(it.revision) }
     }
 
-    private fun RememberedChange.winner(): ChangeWinner? =
+    private fun DecidedChange.winner(): ChangeWinner? =
         if (response.outcome == ChangeOutcome.ACCEPTED) {
             ChangeWinner(change = response.change, revision = response.revision, author = author)
         } else {
--- a/control/src/main/kotlin/io/bluebellramp/control/EntryLeases.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/EntryLeases.kt
@@ -6,58 +6,58 @@
 import java.util.TreeMap
 import kotlin.time.Duration
 
-/** The leases that one incarnation of an entry may still hold, and what it reported last. */
+/** The leases that one incarnation of an entry may still hold, and its last request. */
 internal class EntryLeases(
-    first: LeaseRequest,
-    arrived: Duration,
+    firstRequest: LeaseRequest,
+    arrivedAt: Duration,
 ) {
-    private val ends = TreeMap<Revision, Duration>()
-    private var heard = arrived
-    private var oldestPermit = first.oldestPermit
+    private val leaseEndByRevision = TreeMap<Revision, Duration>()
+    private var lastRequestAt = arrivedAt
+    private var oldestPermit = firstRequest.oldestPermit
 
-    /** The last request. */
-    var last = first
+    /** The last lease request. */
+    var lastRequest = firstRequest
         private set
 
-    /** Notes a request. Permits below the oldest one that it names are gone, so leases below it no longer matter. */
-    fun report(
+    /** Records a request. Permits below its [LeaseRequest.oldestPermit] have expired, so leases below that revision are dropped. */
+    fun recordRequest(
         request: LeaseRequest,
-        arrived: Duration,
+        arrivedAt: Duration,
     ) {
-        last = request
-        heard = maxOf(heard, arrived)
+        lastRequest = request
+        lastRequestAt = maxOf(lastRequestAt, arrivedAt)
         oldestPermit = maxOf(oldestPermit, request.oldestPermit)
-        ends.headMap(oldestPermit, false).clear()
+        leaseEndByRevision.headMap(oldestPermit, false).clear()
     }
 
-    /** Notes a lease under [revision] that runs out at [end]. */
-    fun grant(
+    /** Records a lease under [revision] that expires at [end]. */
+    fun recordLease(
         revision: Revision,
         end: Duration,
     ) {
-        ends.merge(revision, end) { old, new -> maxOf(old, new) }
+        leaseEndByRevision.merge(revision, end) { old, new -> maxOf(old, new) }
     }
 
-    /** Returns the lowest revision of a lease that may still be alive at [now]. */
-    fun oldestLease(now: Duration): Revision? {
-        while (ends.isNotEmpty() && ends.firstEntry().value <= now) ends.pollFirstEntry()
-        return ends.keys.firstOrNull()
+    /** Returns the lowest revision with a lease that may be unexpired at [now], or null. */
+    fun lowestLeasedRevision(now: Duration): Revision? {
+        while (leaseEndByRevision.isNotEmpty() && leaseEndByRevision.firstEntry().value <= now) leaseEndByRevision.pollFirstEntry()
+        return leaseEndByRevision.keys.firstOrNull()
     }
 
-    /** Tells whether a lease may still be alive at [now]. */
-    fun holdsLease(now: Duration): Boolean = oldestLease(now) != null
+    /** Returns whether a lease may be unexpired at [now]. */
+    fun holdsLease(now: Duration): Boolean = lowestLeasedRevision(now) != null
 
-    /** Tells whether the entry counts as live at [now]. */
-    fun isLive(now: Duration): Boolean = !last.leaving && now - heard < LeaseTable.ENTRY_LIFE
+    /** Returns whether the entry counts as live at [now]. */
+    fun isLive(now: Duration): Boolean = !lastRequest.leaving && now - lastRequestAt < LeaseTable.ENTRY_TIMEOUT
 
-    /** Returns what an operator sees. */
+    /** Returns the status shown to operators. */
     fun status(now: Duration) =
         EntryStatus(
-            entry = last.entry,
-            address = last.address,
-            zone = last.zone,
+            entry = lastRequest.entry,
+            address = lastRequest.address,
+            zone = lastRequest.zone,
             oldestPermit = oldestPermit,
-            agents = last.agents,
-            silentMillis = (now - heard).inWholeMilliseconds,
+            agents = lastRequest.agents,
+            silentMillis = (now - lastRequestAt).inWholeMilliseconds,
         )
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/HolderTable.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/HolderTable.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.messages.ClaimHolder
 
-/** Numbers the holders of the claims of one group, so that a claim keeps a number in place of a holder. */
+/** Maps the holders of one bucket to small numbers, so that a claim stores a number instead of an object. */
 internal class HolderTable {
     private val holders = ArrayList<ClaimHolder>()
     private val numbers = HashMap<ClaimHolder, Int>()
@@ -10,7 +10,7 @@
     /** Returns the holder with [number]. */
     operator fun get(number: Int): ClaimHolder = holders[number]
 
-    /** Returns the number of [holder]. */
+    /** Returns the number of [holder], assigning one if needed. */
     fun numberOf(holder: ClaimHolder): Int =
         numbers.getOrPut(holder) {
             holders += holder
--- a/control/src/main/kotlin/io/bluebellramp/control/Replies.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/HttpBodies.kt
@@ -16,34 +16,34 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 
-/** Largest body of an operator's call (bytes). */
-internal const val MAX_BODY_BYTES = 4L * 1024 * 1024
+/** Largest body of an operator's call. */
+internal const val MAX_OPERATOR_BODY_BYTES = 4L * 1024 * 1024
 
-/** Largest body of a request for a lease or a vote (bytes). */
-internal const val SMALL_BODY_BYTES = 64L * 1024
+/** Largest body of a lease or vote request. */
+internal const val MAX_SMALL_BODY_BYTES = 64L * 1024
 
-/** Largest body of a batch of claims or releases, which has 1,000 of them at most (bytes). */
-internal const val CLAIMS_BODY_BYTES = 1024L * 1024
+/** Largest body of a batch of at most 1,000 claims or releases. */
+internal const val MAX_CLAIMS_BODY_BYTES = 1024L * 1024
 
-/** Largest body of a request with records, one of which may be the largest change with each character escaped (bytes). */
-internal const val LOG_BODY_BYTES = 16L * 1024 * 1024
+/** Largest body of a request with log records; fits the largest configuration change with every character escaped. */
+internal const val MAX_LOG_BODY_BYTES = 16L * 1024 * 1024
 
-/** What came of decoding a body. */
+/** Result of decoding a request body. */
 internal sealed interface DecodedBody<out T> {
-    /** The body has the type that the schema asks for. */
+    /** The body is valid for its schema type. */
     data class Valid<T>(
         val value: T,
     ) : DecodedBody<T>
 
-    /** The body has [violations]. */
+    /** The body is invalid because of [violations]. */
     data class Invalid(
         val violations: List<Violation>,
     ) : DecodedBody<Nothing>
 }
 
-/** Reads the body as text of [limit] bytes at most. Otherwise it answers why not and returns null. */
-internal suspend fun ApplicationCall.receiveText(limit: Long): String? {
-    when (val body = readBody(limit)) {
+/** Reads the body as text of at most [maxBodyBytes]. On failure, sends an error response and returns null. */
+internal suspend fun ApplicationCall.receiveText(maxBodyBytes: Long): String? {
+    when (val body = readBody(maxBodyBytes)) {
         is BodyResult.Whole -> {
             return body.text
         }
@@ -52,7 +52,7 @@
             respondError(
                 HttpStatusCode.PayloadTooLarge,
                 ErrorCode.BODY_TOO_LARGE,
-                "The body is larger than $limit bytes.",
+                "The body is larger than $maxBodyBytes bytes.",
             )
         }
 
@@ -63,9 +63,9 @@
     return null
 }
 
-/** Reads a body of another process of [limit] bytes at most. Otherwise it answers why not and returns null. */
-internal suspend inline fun <reified T> ApplicationCall.receiveJson(limit: Long): T? {
-    val text = receiveText(limit) ?: return null
+/** Decodes a JSON body of at most [maxBodyBytes] from another process. On failure, sends an error response and returns null. */
+internal suspend inline fun <reified T> ApplicationCall.receiveJson(maxBodyBytes: Long): T? {
+    val text = receiveText(maxBodyBytes) ?: return null
     return try {
         WireJson.decodeFromString<T>(text)
     } catch (_: IllegalArgumentException) {
@@ -74,11 +74,11 @@
     }
 }
 
-/** Answers another process with [value]; as text, since content negotiation costs more than the encoding. */
+/** Responds to another process with [value], encoded here because content negotiation costs more than the encoding. */
 internal suspend inline fun <reified T> ApplicationCall.respondJson(value: T) =
     respondText(WireJson.encodeToString(value), ContentType.Application.Json)
 
-/** Decodes [text] as the schema type [type]; every violation is listed. */
+/** Decodes [text] as the schema type [type], or returns all violations. */
 internal fun <T> decodeStrictly(
     text: String,
     type: String,
@@ -99,7 +99,7 @@
         .lineSequence()
         .first()
 
-/** Answers with an error. */
+/** Responds with an [ErrorBody]. */
 internal suspend fun ApplicationCall.respondError(
     status: HttpStatusCode,
     code: ErrorCode,
@@ -107,7 +107,7 @@
     violations: List<Violation> = emptyList(),
 ) = respond(status, ErrorBody(code = code, message = message, violations = violations))
 
-/** Answers that no leader can be reached. */
+/** Responds that no leader can be reached. */
 internal suspend fun ApplicationCall.respondNoLeader() =
     respondError(
         HttpStatusCode.ServiceUnavailable,
--- a/control/src/main/kotlin/io/bluebellramp/control/HttpLogTransport.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/HttpLogTransport.kt
@@ -18,7 +18,7 @@
 import io.ktor.http.isSuccess
 import kotlinx.coroutines.CancellationException
 
-/** Sends the messages of the log over HTTP. [client] must bound each request by a timeout. */
+/** Sends messages of the replicated log over HTTP. [client] must have a request timeout. */
 class HttpLogTransport(
     private val client: HttpClient,
 ) : LogTransport {
@@ -44,13 +44,13 @@
     request: Q,
 ): A? =
     try {
-        // Text on both sides keeps these frequent calls out of the client's content negotiation.
+        // Plain text avoids the cost of Ktor's content negotiation for these frequent calls.
         val body = TextContent(WireJson.encodeToString(request), ContentType.Application.Json)
         val response = post("http://${to.address}$path") { setBody(body) }
         if (response.status.isSuccess()) WireJson.decodeFromString<A>(response.bodyAsText()) else null
     } catch (e: CancellationException) {
         throw e
     } catch (_: Exception) {
-        // Whatever went wrong, no answer came; the log must learn of it to go on.
+        // Any failure counts as a missing response; the log must be told so that it can continue.
         null
     }
--- a/control/src/main/kotlin/io/bluebellramp/control/LeaderForwarder.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/LeaderForwarder.kt
@@ -22,12 +22,12 @@
 import java.net.ConnectException
 import io.ktor.server.request.header as requestHeader
 
-/** Forwards operators' calls to the leader, at most one step. */
+/** Forwards operators' calls to the leader, over at most one hop. */
 class LeaderForwarder(
     private val log: ReplicatedLog,
     private val client: HttpClient,
 ) {
-    /** Forwards [call] with [body] and answers it, or answers that there is no leader. */
+    /** Forwards [call] with [body] and sends the response, or responds that no leader is known. */
     suspend fun forward(
         call: ApplicationCall,
         body: ByteArray? = null,
@@ -35,13 +35,13 @@
         if (!tryForward(call, body)) call.respondNoLeader()
     }
 
-    /** Forwards [call] and answers it; returns false, with nothing answered, if no leader can be reached. */
+    /** Forwards [call] and sends the response; returns false without a response if no leader can be reached. */
     suspend fun tryForward(
         call: ApplicationCall,
         body: ByteArray? = null,
     ): Boolean {
         val leader = log.status().leader
-        if (leader == null || call.requestHeader(HOPS) != null) return false
+        if (leader == null || call.requestHeader(FORWARDED_HEADER) != null) return false
         try {
             val response = send(leader, call, body)
             call.respondBytes(response.bodyAsBytes(), response.contentType() ?: ContentType.Application.Json, response.status)
@@ -49,7 +49,7 @@
             return false
         } catch (_: IOException) {
             if (call.request.httpMethod == HttpMethod.Get) return false
-            call.respondUnknown()
+            call.respondOutcomeUnknown()
         }
         return true
     }
@@ -61,19 +61,19 @@
     ): HttpResponse =
         client.request("http://${leader.address}${call.request.uri}") {
             method = call.request.httpMethod
-            header(HOPS, "1")
+            header(FORWARDED_HEADER, "1")
             if (body != null) setBody(ByteArrayContent(body, ContentType.Application.Json))
         }
 
     private fun ApplicationCall.requestHeader(name: String) = request.requestHeader(name)
 
     private companion object {
-        const val HOPS = "X-Bluebellramp-Forwarded"
+        const val FORWARDED_HEADER = "X-Bluebellramp-Forwarded"
     }
 }
 
-/** Answers that the call may or may not have taken effect. */
-internal suspend fun ApplicationCall.respondUnknown() =
+/** Responds that the call may or may not have taken effect. */
+internal suspend fun ApplicationCall.respondOutcomeUnknown() =
     respondError(
         HttpStatusCode.ServiceUnavailable,
         ErrorCode.OUTCOME_UNKNOWN,
--- a/control/src/main/kotlin/io/bluebellramp/control/LeaseDesk.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/LeaseManager.kt
@@ -15,69 +15,69 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Answers lease requests while this member leads. Safe for concurrent use.
+ * Grants leases to entries while this member is the leader. Thread-safe.
  *
- * @param members tells the committed voting members that count claims
+ * @param members returns the committed voters, which decide claims
  */
-class LeaseDesk(
+class LeaseManager(
     private val log: ReplicatedLog,
-    private val machine: ConfigurationMachine,
+    private val machine: ConfigurationStateMachine,
     private val clock: Clock,
-    private val life: Duration,
+    private val leaseDuration: Duration,
     private val members: () -> ClaimMembers?,
 ) {
-    private val table = LeaseTable(clock, life)
-    private val longestHold = life / HOLD_SHARE
+    private val table = LeaseTable(clock, leaseDuration)
+    private val maxHold = leaseDuration / HOLD_DIVISOR
 
-    /** Notes each accepted revision until it is cancelled. Run it at every member. */
-    suspend fun noteRevisions() {
-        machine.configuration.collect { view -> synchronized(table) { table.accept(view.revision) } }
+    /** Records each accepted revision until cancelled. Must run on every member, so that a new leader knows the revisions. */
+    suspend fun trackAcceptedRevisions() {
+        machine.configuration.collect { view -> synchronized(table) { table.recordAccepted(view.revision) } }
     }
 
     /**
-     * Answers [request], at once or when the revision changes.
+     * Answers [request] after the requested wait, at most [maxHold], or earlier if the revision changes.
      *
-     * The majority is checked after the request arrived and again at the moment of the answer.
+     * Checks that this member holds a majority when the request arrives and again just before the answer.
      */
     suspend fun answer(request: LeaseRequest): LeaseResponse {
-        val arrived = clock.monotonic()
+        val arrivedAt = clock.monotonic()
         if (!log.holdsMajority()) return refusal()
-        onTable { it.report(request, arrived) }
-        hold(request)
+        withTable { it.recordRequest(request, arrivedAt) }
+        awaitNewRevision(request)
         if (!log.holdsMajority()) return refusal()
-        return grant(request, arrived)
+        return grant(request, arrivedAt)
     }
 
-    /** Returns the highest revision that is in force, or null if this member does not lead or cannot know yet. */
+    /** Returns the highest revision in force, or null if this member is not the leader or does not know yet. */
     fun revisionInForce(): Revision? {
         if (!log.holdsMajority()) return null
-        return onTable { it.revisionInForce(machine.configuration.value.revision) }
+        return withTable { it.revisionInForce(machine.configuration.value.revision) }
     }
 
-    /** Returns each live entry as an operator sees it. */
-    fun statuses(): List<EntryStatus> = if (log.holdsMajority()) onTable { it.statuses() } else emptyList()
+    /** Returns the status of each live entry for operators. */
+    fun statuses(): List<EntryStatus> = if (log.holdsMajority()) withTable { it.statuses() } else emptyList()
 
-    /** Number of entries whose lease may still be alive. */
-    fun leases(): Int = synchronized(table) { table.leases() }
+    /** Number of entries that may hold an unexpired lease. */
+    fun leaseCount(): Int = synchronized(table) { table.leaseCount() }
 
     private fun grant(
         request: LeaseRequest,
-        arrived: Duration,
+        arrivedAt: Duration,
     ): LeaseResponse {
         var peers = emptyList<EntryPeer>()
-        // The revision is read and noted in one step, so that a change that is accepted later waits for this lease.
+        // Reads the revision and records the lease under one lock, so that a change accepted later waits for this lease.
         val view =
-            onTable {
+            withTable {
                 val view = machine.configuration.value
-                it.grant(request, arrived, view.revision)
-                peers = it.live()
+                it.recordLease(request, arrivedAt, view.revision)
+                peers = it.livePeers()
                 view
             }
         if (request.revision > view.revision) return refusal()
         return LeaseResponse(
             granted = true,
             leader = log.status().leader?.address,
-            lifeMillis = life.inWholeMilliseconds,
+            lifeMillis = leaseDuration.inWholeMilliseconds,
             revision = view.revision,
             configuration = view.takeIf { it.revision != request.revision || it.revision == Revision.ZERO },
             entries = peers,
@@ -85,24 +85,24 @@
         )
     }
 
-    private suspend fun hold(request: LeaseRequest) {
-        val wait = minOf(request.waitMillis.milliseconds, longestHold)
+    private suspend fun awaitNewRevision(request: LeaseRequest) {
+        val wait = minOf(request.waitMillis.milliseconds, maxHold)
         if (request.leaving || wait <= Duration.ZERO) return
         withTimeoutOrNull(wait) { machine.configuration.first { it.revision > request.revision } }
     }
 
     private fun refusal() = LeaseResponse(granted = false, leader = log.status().leader?.address)
 
-    private fun <T> onTable(action: (LeaseTable) -> T): T {
-        // A candidate has not won its term yet, and the old leader may go on granting leases until it has.
+    private fun <T> withTable(action: (LeaseTable) -> T): T {
+        // A candidate has not won its term yet; until it does, the old leader may still grant leases.
         val status = log.status()
         return synchronized(table) {
-            if (status.role == Role.LEADER) table.lead(status.term)
+            if (status.role == Role.LEADER) table.enterTerm(status.term)
             action(table)
         }
     }
 
     private companion object {
-        const val HOLD_SHARE = 4
+        const val HOLD_DIVISOR = 4
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/LeaseTable.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/LeaseTable.kt
@@ -12,112 +12,113 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The leader's view of leases: which entries live, and which revision is in force. No I/O, one thread at a time.
+ * The leader's view of leases: which entries are live, and which revision is in force. Does no I/O and is not thread-safe.
  *
- * Call [lead] with the current term before anything else, [report] when a lease request arrives, and [grant] at the moment of
- * the answer, while the member still holds a majority.
+ * Call [enterTerm] with the current term before anything else, [recordRequest] when a lease request arrives, and [recordLease] just
+ * before the answer, while the member still holds a majority.
  *
- * @param life how long a lease is good for, counted from the moment the entry sent its request
+ * @param leaseDuration how long a lease is valid, counted from the moment the entry sent its request
  */
 class LeaseTable(
     private val clock: Clock,
-    private val life: Duration,
+    private val leaseDuration: Duration,
 ) {
     private val entries = LinkedHashMap<EntryKey, EntryLeases>()
     private var term = NO_TERM
-    private var quietUntil = Duration.ZERO
-    private val acceptances = TreeMap<Revision, Duration>()
-    private var outlived: Revision? = null
+    private var earlierLeasesEnd = Duration.ZERO
+    private val acceptedAt = TreeMap<Revision, Duration>()
+    private var inForceByTime: Revision? = null
 
     /**
-     * Notes that this member leads in [term].
+     * Records that this member is the leader in [term].
      *
-     * In a new term all leases of earlier leaders count as alive for one life, because this member does not know them.
+     * In a new term, leases granted by earlier leaders are assumed to be valid for one lease duration, because this member does not
+     * know them.
      */
-    fun lead(term: Long) {
+    fun enterTerm(term: Long) {
         if (term == this.term) return
         this.term = term
         entries.clear()
-        quietUntil = clock.monotonic() + life
+        earlierLeasesEnd = clock.monotonic() + leaseDuration
     }
 
     /**
-     * Notes that [revision] is accepted. Call it at every member, so that it is known after an election.
+     * Records that [revision] was accepted. Must be called on every member, so that a new leader knows it.
      *
-     * No lease under an older revision is granted from then on, so one life later the revision is in force by that alone.
+     * No lease under an older revision is granted from then on, so the revision is in force at the latest one lease duration later.
      */
-    fun accept(revision: Revision) {
-        acceptances.putIfAbsent(revision, clock.monotonic())
+    fun recordAccepted(revision: Revision) {
+        acceptedAt.putIfAbsent(revision, clock.monotonic())
     }
 
-    /** Notes [request], which arrived at [arrived] on the clock. */
-    fun report(
+    /** Records [request], which arrived at [arrivedAt] on the monotonic clock. */
+    fun recordRequest(
         request: LeaseRequest,
-        arrived: Duration,
+        arrivedAt: Duration,
     ) {
-        forgetSilent()
-        val entry = entries.getOrPut(request.key()) { EntryLeases(request, arrived) }
-        entry.report(request, arrived)
+        removeExpired()
+        val entry = entries.getOrPut(request.key()) { EntryLeases(request, arrivedAt) }
+        entry.recordRequest(request, arrivedAt)
     }
 
-    /** Notes that [request], which arrived at [arrived], is answered with a lease under [revision]. */
-    fun grant(
+    /** Records that [request], which arrived at [arrivedAt], is answered with a lease under [revision]. */
+    fun recordLease(
         request: LeaseRequest,
-        arrived: Duration,
+        arrivedAt: Duration,
         revision: Revision,
     ) {
-        entries.getOrPut(request.key()) { EntryLeases(request, arrived) }.grant(revision, end = arrived + life)
+        entries.getOrPut(request.key()) { EntryLeases(request, arrivedAt) }.recordLease(revision, end = arrivedAt + leaseDuration)
     }
 
     /**
-     * Returns the highest revision that is in force, if [accepted] is the accepted one, or null if that is not known yet.
+     * Returns the highest revision in force, where [accepted] is the last accepted one, or null if it is not known yet.
      *
-     * No agent can start a task under a revision below it, whatever is delayed, dropped or frozen.
+     * No agent can start a task under a lower revision, even if messages are delayed or lost or processes are frozen.
      */
     fun revisionInForce(accepted: Revision): Revision? {
         val now = clock.monotonic()
-        val outlived = outlived(now)
-        if (now < quietUntil) return outlived
+        val inForceByTime = inForceByTime(now)
+        if (now < earlierLeasesEnd) return inForceByTime
         val confirmed =
             entries.values
-                .mapNotNull { it.oldestLease(now) }
+                .mapNotNull { it.lowestLeasedRevision(now) }
                 .plus(accepted)
                 .min()
-        return if (outlived == null) confirmed else maxOf(outlived, confirmed)
+        return if (inForceByTime == null) confirmed else maxOf(inForceByTime, confirmed)
     }
 
-    /** Returns the highest revision that was accepted at least one life ago. */
-    private fun outlived(now: Duration): Revision? {
-        while (acceptances.isNotEmpty() && acceptances.firstEntry().value + life <= now) {
-            val next = acceptances.pollFirstEntry().key
-            outlived = outlived?.let { maxOf(it, next) } ?: next
+    /** Returns the highest revision that was accepted at least one lease duration ago, or null. */
+    private fun inForceByTime(now: Duration): Revision? {
+        while (acceptedAt.isNotEmpty() && acceptedAt.firstEntry().value + leaseDuration <= now) {
+            val next = acceptedAt.pollFirstEntry().key
+            inForceByTime = inForceByTime?.let { maxOf(it, next) } ?: next
         }
-        return outlived
+        return inForceByTime
     }
 
-    /** Tells whether [revision] is in force, if [accepted] is the accepted one. */
+    /** Returns whether [revision] is in force, where [accepted] is the last accepted one. */
     fun isInForce(
         revision: Revision,
         accepted: Revision,
     ): Boolean = revisionInForce(accepted).let { it != null && it >= revision }
 
-    /** Returns the live entries. */
-    fun live(): List<EntryPeer> =
+    /** Returns the live entries, as other entries see them. */
+    fun livePeers(): List<EntryPeer> =
         liveEntries().map { EntryPeer(entry = it.entry, incarnation = it.incarnation, address = it.address, site = it.site) }
 
-    /** Returns each live entry as an operator sees it. */
+    /** Returns the status of each live entry for operators. */
     fun statuses(): List<EntryStatus> {
         val now = clock.monotonic()
         return entries.values.filter { it.isLive(now) }.map { it.status(now) }
     }
 
-    /** Number of entries whose lease may still be alive. */
-    fun leases(): Int = clock.monotonic().let { now -> entries.values.count { it.holdsLease(now) } }
+    /** Number of entries that may hold an unexpired lease. */
+    fun leaseCount(): Int = clock.monotonic().let { now -> entries.values.count { it.holdsLease(now) } }
 
     private fun liveEntries(): List<LeaseRequest> =
-        clock.monotonic().let { now -> entries.values.filter { it.isLive(now) }.map { it.last } }
+        clock.monotonic().let { now -> entries.values.filter { it.isLive(now) }.map { it.lastRequest } }
 
-    private fun forgetSilent() {
+    private fun removeExpired() {
         val now = clock.monotonic()
         entries.values.removeIf { !it.isLive(now) && !it.holdsLease(now) }
     }
@@ -132,7 +133,7 @@
     companion object {
         private const val NO_TERM = -1L
 
-        /** How long an entry counts as live after its last lease request. */
-        val ENTRY_LIFE = 3.seconds
+        /** An entry counts as live for this long after its last lease request. */
+        val ENTRY_TIMEOUT = 3.seconds
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/Main.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/Main.kt
@@ -25,12 +25,12 @@
 import kotlin.io.path.notExists
 import kotlin.time.Duration.Companion.milliseconds
 
-private const val NAME = "bluebellramp-control"
+private const val PROGRAM_NAME = "bluebellramp-control"
 
 /** Runs a control process until SIGTERM. */
 fun main(args: Array<String>) =
     runServer(
-        name = NAME,
+        name = PROGRAM_NAME,
         args = args,
         reader = SettingsReader("ControlSettings", ControlSettings.serializer(), ::checkSettings),
         logFolder = { it.logFolder },
@@ -41,9 +41,9 @@
 private fun startControl(settings: ControlSettings): RunningProgram {
     val key = SharedKey.read(settings.keyFile, settings.listen.host)
     val registry = PrometheusRegistry()
-    val machine = ConfigurationMachine()
+    val machine = ConfigurationStateMachine()
     val isFounder = !settings.joining && isEmpty(Path.of(settings.dataFolder))
-    val member = logMember(settings, key, machine, registry)
+    val member = createLogMember(settings, key, machine, registry)
     val start = runBlocking { member.start() }
     check(start is LogStart.Started) { "the data folder ${settings.dataFolder} cannot be used: ${(start as LogStart.Refused).error}" }
     val control = Control(settings, member, machine, SystemClock, isFounder)
@@ -53,14 +53,14 @@
 
 private fun isEmpty(folder: Path): Boolean = folder.notExists() || folder.listDirectoryEntries().isEmpty()
 
-private fun logMember(
+private fun createLogMember(
     settings: ControlSettings,
     key: SharedKey?,
-    machine: ConfigurationMachine,
+    machine: ConfigurationStateMachine,
     registry: PrometheusRegistry,
 ): LogMember {
-    val election = settings.electionMillis.milliseconds
-    val client = settings.memberLink(key, connectTimeout = election, timeout = election)
+    val electionTimeout = settings.electionMillis.milliseconds
+    val client = settings.memberHttpClient(key, connectTimeout = electionTimeout, timeout = electionTimeout)
     return LogMember(
         self = MemberAddress(settings.member, settings.address),
         founding = settings.members,
@@ -70,16 +70,16 @@
         transport = HttpLogTransport(client),
         clock = SystemClock,
         settings = LogSettings(settings.electionMillis, settings.heartbeatMillis, settings.snapshotRecords),
-        listener = ControlListener(settings.member, registry),
+        listener = ControlLogListener(settings.member, registry),
     )
 }
 
-/** Measures the syncs of the log, and logs elections and a failed disk. */
-private class ControlListener(
+/** Records how long log syncs take, and logs elections and storage failures. */
+private class ControlLogListener(
     private val member: MemberId,
     registry: PrometheusRegistry,
 ) : LogListener {
-    private val syncs =
+    private val syncDurations =
         Histogram
             .builder()
             .name("bluebellramp_control_sync_seconds")
@@ -87,14 +87,15 @@
             .classicOnly()
             .register(registry)
 
-    override fun onSync(nanos: Long) = syncs.observe(nanos / NANOS_PER_SECOND)
+    override fun onSync(nanos: Long) = syncDurations.observe(nanos / NANOS_PER_SECOND)
 
     override fun onLeadership(status: LogStatus) {
         val leader = status.leader?.member ?: "none"
         logDecision(Decision(kind = "election", reason = "term ${status.term}: ${status.role.name.lowercase()}, leader $leader"))
     }
 
-    override fun onStorageFailure(error: StorageError) = Logger.error("The log of $member has stopped: $error")
+    override fun onStorageFailure(error: StorageError) =
+        Logger.error("The replicated log of member $member has stopped after a storage failure: $error")
 
     private companion object {
         const val NANOS_PER_SECOND = 1e9
--- a/control/src/main/kotlin/io/bluebellramp/control/OperatorRoutes.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/OperatorRoutes.kt
@@ -15,7 +15,7 @@
 import io.ktor.server.routing.post
 import kotlinx.serialization.KSerializer
 
-/** The operators' API. A member that does not lead forwards each call to the leader. */
+/** The operators' API. A member that is not the leader forwards each call to the leader. */
 internal fun Route.operatorRoutes(
     control: Control,
     forwarder: LeaderForwarder,
@@ -28,7 +28,7 @@
         if (isLocal || !forwarder.tryForward(call)) call.respond(control.status())
     }
     post("/v1/changes") {
-        call.receiveLed(control, forwarder, "ChangeRequest", ChangeRequest.serializer()) { request, body ->
+        call.receiveAsLeader(control, forwarder, "ChangeRequest", ChangeRequest.serializer()) { request, body ->
             call.respondTo(control.changes.submit(request, wait = call.flag("wait")), forwarder, body)
         }
     }
@@ -36,21 +36,21 @@
         if (control.log.holdsMajority()) call.respondChange(control) else forwarder.forward(call)
     }
     post("/v1/members") {
-        call.receiveLed(control, forwarder, "MembershipRequest", MembershipRequest.serializer()) { request, body ->
+        call.receiveAsLeader(control, forwarder, "MembershipRequest", MembershipRequest.serializer()) { request, body ->
             call.respondTo(request, control, forwarder, body)
         }
     }
 }
 
-/** Reads a body at the leader, or forwards the call. */
-private suspend fun <T> ApplicationCall.receiveLed(
+/** Decodes the body and calls [handle] if this member leads; otherwise forwards the call to the leader. */
+private suspend fun <T> ApplicationCall.receiveAsLeader(
     control: Control,
     forwarder: LeaderForwarder,
     type: String,
     serializer: KSerializer<T>,
     handle: suspend (T, ByteArray) -> Unit,
 ) {
-    val text = receiveText(MAX_BODY_BYTES) ?: return
+    val text = receiveText(MAX_OPERATOR_BODY_BYTES) ?: return
     val body = text.toByteArray()
     if (!control.log.holdsMajority()) return forwarder.forward(this, body)
     when (val result = decodeStrictly(text, type, serializer)) {
@@ -71,7 +71,7 @@
 ) = when (result) {
     is ChangeResult.Decided -> respond(result.response)
     ChangeResult.NotLeader -> forwarder.forward(this, body)
-    ChangeResult.Unknown -> respondUnknown()
+    ChangeResult.Unknown -> respondOutcomeUnknown()
 }
 
 private suspend fun ApplicationCall.respondTo(
@@ -94,7 +94,7 @@
     }
 
     ProposalResult.Unknown -> {
-        respondUnknown()
+        respondOutcomeUnknown()
     }
 }
 
--- a/control/src/main/kotlin/io/bluebellramp/control/ProcessRoutes.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ProcessRoutes.kt
@@ -15,10 +15,10 @@
 import io.ktor.server.routing.get
 import io.ktor.server.routing.post
 
-/** Calls of entries: leases and claims. */
+/** Routes for entries: leases and claims. */
 internal fun Route.entryRoutes(control: Control) {
-    postJson<LeaseRequest>("/leases", SMALL_BODY_BYTES) { call.respondJson(control.leases.answer(it)) }
-    postJson<ClaimRequest>("/claims", CLAIMS_BODY_BYTES) { request ->
+    postJson<LeaseRequest>("/leases", MAX_SMALL_BODY_BYTES) { call.respondJson(control.leases.answer(it)) }
+    postJson<ClaimRequest>("/claims", MAX_CLAIMS_BODY_BYTES) { request ->
         val response = control.claims.claim(request)
         request.claims
             .zip(response.verdicts)
@@ -30,35 +30,35 @@
             }
         call.respondJson(response)
     }
-    postJson<ClaimRelease>("/claims/release", CLAIMS_BODY_BYTES) {
+    postJson<ClaimRelease>("/claims/release", MAX_CLAIMS_BODY_BYTES) {
         control.claims.release(it)
         call.respond(HttpStatusCode.NoContent)
     }
 }
 
-/** Calls of other members: the log and copies of claims. */
+/** Routes for other members: log replication and copies of claims. */
 internal fun Route.memberRoutes(control: Control) {
-    postJson<VoteRequest>("/log/vote", SMALL_BODY_BYTES) { call.respondJson(control.log.onVote(it)) }
-    postJson<AppendRequest>("/log/append", LOG_BODY_BYTES) { call.respondJson(control.log.onAppend(it)) }
-    postJson<SnapshotRequest>("/log/snapshot", LOG_BODY_BYTES) { call.respondJson(control.log.onSnapshot(it)) }
+    postJson<VoteRequest>("/log/vote", MAX_SMALL_BODY_BYTES) { call.respondJson(control.log.onVote(it)) }
+    postJson<AppendRequest>("/log/append", MAX_LOG_BODY_BYTES) { call.respondJson(control.log.onAppend(it)) }
+    postJson<SnapshotRequest>("/log/snapshot", MAX_LOG_BODY_BYTES) { call.respondJson(control.log.onSnapshot(it)) }
     get("/claims/table") {
         call.respond(
-            control.claims.copy(
-                copyNeed(),
+            control.claims.page(
+                requestedCopyRequirement(),
                 call.request.queryParameters["from"]?.toLongOrNull() ?: Long.MIN_VALUE,
             ),
         )
     }
 }
 
-/** Adds a call with a body of [limit] bytes at most. */
+/** Adds a POST route that decodes a JSON body of at most [maxBodyBytes]. */
 private inline fun <reified T> Route.postJson(
     path: String,
-    limit: Long,
+    maxBodyBytes: Long,
     crossinline handle: suspend RoutingContext.(T) -> Unit,
-) = post(path) { call.receiveJson<T>(limit)?.let { handle(it) } }
+) = post(path) { call.receiveJson<T>(maxBodyBytes)?.let { handle(it) } }
 
-private fun RoutingContext.copyNeed(): CopyNeed {
+private fun RoutingContext.requestedCopyRequirement(): CopyRequirement {
     val name = call.request.queryParameters["need"]
-    return CopyNeed.entries.find { it.name.equals(name, ignoreCase = true) } ?: CopyNeed.WHOLE
+    return CopyRequirement.entries.find { it.name.equals(name, ignoreCase = true) } ?: CopyRequirement.WHOLE
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/StoredClaim.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/StoredClaim.kt
@@ -8,12 +8,12 @@
 import java.util.HexFormat
 import java.util.UUID
 
-/** A submission id in 16 bytes. */
+/** A submission id as 16 bytes. */
 internal data class ClaimKey(
     val high: Long,
     val low: Long,
 ) {
-    /** Returns the id. */
+    /** Returns the submission id. */
     fun submission() = SubmissionId(UUID(high, low).toString())
 
     companion object {
@@ -22,7 +22,7 @@
     }
 }
 
-/** A SHA-256 digest in 32 bytes. */
+/** A SHA-256 digest as 32 bytes. */
 internal data class ClaimDigest(
     val first: Long,
     val second: Long,
@@ -33,7 +33,7 @@
     fun hex(): String {
         val bytes =
             ByteBuffer
-                .allocate(BYTES)
+                .allocate(DIGEST_BYTES)
                 .putLong(first)
                 .putLong(second)
                 .putLong(third)
@@ -42,11 +42,11 @@
     }
 
     companion object {
-        private const val BYTES = 32
+        private const val DIGEST_BYTES = 32
 
-        /** Returns the digest that [hex] spells, or null if it is none. */
+        /** Parses [hex], or returns null if it is not a SHA-256 digest. */
         fun parse(hex: String): ClaimDigest? {
-            if (hex.length != 2 * BYTES) return null
+            if (hex.length != 2 * DIGEST_BYTES) return null
             return try {
                 val bytes = ByteBuffer.wrap(HexFormat.of().parseHex(hex))
                 ClaimDigest(bytes.getLong(), bytes.getLong(), bytes.getLong(), bytes.getLong())
@@ -58,47 +58,48 @@
 }
 
 /**
- * A claim as a member holds it.
+ * A claim as a member stores it.
  *
- * @property sequence last round of the holder in which it was granted
- * @property isTakenOver true if the holder took it over from an entry that is gone, and so must never start anything
- * @property rivals other claims of the same submission that members of the cluster are known to have granted. While there are
- *   any, the member cannot tell whose claim it granted before it forgot, so it grants none.
+ * @property sequence the holder's last claim round in which it was granted
+ * @property isTakenOver true if the holder took it over from a dead entry; the holder must then never start the submission's tasks
+ * @property conflicts other claims on the same submission that members are known to have granted. While there are any, this member
+ *   cannot know which of them it granted before its restart, so it grants none.
  */
 internal class StoredClaim(
     val digest: ClaimDigest,
     val holder: ClaimHolder,
     val sequence: Long,
     val isTakenOver: Boolean,
-    val rivals: List<StoredClaim>? = null,
+    val conflicts: List<StoredClaim>? = null,
 ) {
-    /** This claim and its rivals, each alone. */
-    fun all(): List<StoredClaim> = listOf(with(rivals = null)) + rivals.orEmpty()
+    /** Returns this claim and its conflicts, each without conflicts of its own. */
+    fun allClaims(): List<StoredClaim> = listOf(withConflicts(conflicts = null)) + conflicts.orEmpty()
 
-    /** Returns this claim with what [other] adds, as a rival unless it is the same claim. */
+    /** Returns this claim merged with [other], which becomes a conflict unless it has the same holder and digest. */
     fun merge(other: StoredClaim): StoredClaim {
-        val claims = all()
-        val same = claims.indexOfFirst { it.holder.incarnation == other.holder.incarnation && it.digest == other.digest }
-        val merged = if (same < 0) claims + other else claims.mapIndexed { i, claim -> if (i == same) claim.again(other) else claim }
-        return of(merged)!!
+        val claims = allClaims()
+        val found = claims.indexOfFirst { it.holder.incarnation == other.holder.incarnation && it.digest == other.digest }
+        val merged = if (found < 0) claims + other else claims.mapIndexed { i, claim -> if (i == found) claim.renewedBy(other) else claim }
+        return combine(merged)!!
     }
 
-    /** Returns what is left when [incarnation] gives up its rounds up to [sequence], or null. A takeover is for good. */
+    /** Returns what remains after [incarnation] releases its rounds up to [sequence], or null. A taken-over claim cannot be released. */
     fun release(
         incarnation: IncarnationId,
         sequence: Long,
-    ): StoredClaim? = of(all().filter { it.isTakenOver || it.holder.incarnation != incarnation || it.sequence > sequence })
+    ): StoredClaim? = combine(allClaims().filter { it.isTakenOver || it.holder.incarnation != incarnation || it.sequence > sequence })
 
-    /** Returns this claim, granted again as [other]. */
-    fun again(other: StoredClaim) = StoredClaim(digest, holder, maxOf(sequence, other.sequence), isTakenOver || other.isTakenOver, rivals)
+    /** Returns this claim, renewed by [other] from the same holder. */
+    fun renewedBy(other: StoredClaim) =
+        StoredClaim(digest, holder, maxOf(sequence, other.sequence), isTakenOver || other.isTakenOver, conflicts)
 
-    /** Returns the claim as a message. */
-    fun held(key: ClaimKey) =
+    /** Converts the claim to a message. */
+    fun toHeldClaim(key: ClaimKey) =
         HeldClaim(submission = key.submission(), digest = digest.hex(), holder = holder, sequence = sequence, takenOver = isTakenOver)
 
-    private fun with(rivals: List<StoredClaim>?) = StoredClaim(digest, holder, sequence, isTakenOver, rivals)
+    private fun withConflicts(conflicts: List<StoredClaim>?) = StoredClaim(digest, holder, sequence, isTakenOver, conflicts)
 
     private companion object {
-        fun of(claims: List<StoredClaim>): StoredClaim? = claims.firstOrNull()?.with(claims.drop(1).ifEmpty { null })
+        fun combine(claims: List<StoredClaim>): StoredClaim? = claims.firstOrNull()?.withConflicts(claims.drop(1).ifEmpty { null })
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/CatalogMachine.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/CatalogStateMachine.kt
@@ -10,7 +10,7 @@
 import kotlinx.coroutines.flow.asStateFlow
 import kotlinx.serialization.Serializable
 
-/** A change of what the processes share. Without any part it changes nothing, and its answer is a reading of the newest state. */
+/** A change of the shared state. An empty command changes nothing; proposing one yields a linearizable read of the state. */
 @Serializable
 internal data class CatalogCommand(
     val catalog: Catalog? = null,
@@ -18,27 +18,27 @@
     val zoneIn: ZoneId? = null,
 )
 
-/** What became of a [CatalogCommand]. */
+/** Result of applying a [CatalogCommand]. */
 internal enum class CatalogVerdict {
-    /** The state is what the command asked for. */
+    /** The state is as the command requested. */
     IN_FORCE,
 
-    /** A catalog with a higher number is in force; the command changed nothing. */
+    /** A catalog with a higher number is in force, so the command changed nothing. */
     OVERTAKEN,
 
-    /** Another catalog has this number. */
+    /** A different catalog with the same number is in force. */
     CONFLICT,
 }
 
 /**
- * The replicated catalog, numbered by the operator, and the availability zones out of service.
+ * State machine of the catalog, which operators number, and of the availability zones out of service.
  *
- * The highest number is in force. A resend of the catalog in force is accepted again; another one under its number is refused.
+ * The catalog with the highest number is in force. Resending it succeeds; a different catalog with the same number is refused.
  */
-class CatalogMachine : StateMachine {
+class CatalogStateMachine : StateMachine {
     private val current = MutableStateFlow(EMPTY)
 
-    /** The state as of the last applied command. Its index is 0 before any change. */
+    /** The state after the last applied command. Its index is 0 before any change. */
     val state: StateFlow<SharedState> = current.asStateFlow()
 
     override fun apply(
@@ -58,13 +58,13 @@
     ): CatalogVerdict {
         val state = current.value
         val next = command.catalog
-        val held = state.catalog
-        if (next != null && held != null) {
-            if (next.number < held.number) return CatalogVerdict.OVERTAKEN
-            if (next.number == held.number) return if (next.digest == held.digest) CatalogVerdict.IN_FORCE else CatalogVerdict.CONFLICT
+        val stored = state.catalog
+        if (next != null && stored != null) {
+            if (next.number < stored.number) return CatalogVerdict.OVERTAKEN
+            if (next.number == stored.number) return if (next.digest == stored.digest) CatalogVerdict.IN_FORCE else CatalogVerdict.CONFLICT
         }
         val zonesOut = (state.zonesOut + listOfNotNull(command.zoneOut) - listOfNotNull(command.zoneIn).toSet()).distinct()
-        val changed = state.copy(catalog = next ?: held, zonesOut = zonesOut)
+        val changed = state.copy(catalog = next ?: stored, zonesOut = zonesOut)
         if (changed != state) current.value = changed.copy(index = index)
         return CatalogVerdict.IN_FORCE
     }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
@@ -36,28 +36,28 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What an operator's order or reading came to. */
+/** Result of an operator's change or read. */
 sealed interface OperatorResult {
-    /** It is committed; [state] is the state after it. */
+    /** The operation was committed; [state] is the state after it. */
     data class Done(
         val state: SharedState,
     ) : OperatorResult
 
-    /** Another catalog has the same number. */
+    /** A different catalog with the same number is in force. */
     data object Conflict : OperatorResult
 
-    /** Another process leads; its host is [host]. */
+    /** Another process is the leader or knows it; its host is [host]. */
     data class LedBy(
         val host: String,
     ) : OperatorResult
 
-    /** Nothing is certain: no leader is known, or it was lost under way. */
+    /** The outcome is unknown: no leader is known, or leadership was lost during the call. */
     data object Unknown : OperatorResult
 }
 
 /**
- * A control process that finds the others from seeds. It keeps the catalog and the zones out of service in a replicated log, and tells
- * every entry and agent that dials it of each change.
+ * A control process that finds the others through seed addresses. It keeps the catalog and the zones out of service in a replicated log,
+ * and sends each change to every entry and agent that connects.
  */
 class ControlNode(
     private val settings: NodeSettings,
@@ -71,40 +71,46 @@
     private val dialers = HashMap<Address, FrameDialer>()
     private val processes = HashMap<FrameLink, ProcessHello>()
 
-    /** The member that asked last at each address, and when. */
-    private val joining = HashMap<Address, Pair<MemberAddress, Duration>>()
-    private val keeper = MemberKeeper(settings.toleratedLosses, founders = seeds.size)
-    private val watch = VoterWatch()
+    /** The last member that asked to join from each address, and when. */
+    private val joinRequests = HashMap<Address, Pair<MemberAddress, Duration>>()
+    private val membershipPlanner = MembershipPlanner(settings.toleratedLosses, founders = seeds.size)
+    private val voterMonitor = VoterMonitor()
     private val transport = LinkLogTransport(loop, clock, CALL_TIMEOUT) { dialers[it]?.link }
     private var state: SharedState? = null
     private var directory = Directory(controls = emptyList(), entries = emptyList())
-    private var leadsSince: Duration? = null
+    private var leaderSince: Duration? = null
 
     private val hasDisk = settings.dataFolder.isNotEmpty()
     private var isLogStarted = false
 
-    /** True once the whole log that a leader has was applied. */
+    /** True once this member has applied the whole log known under a leader. */
     private var isCurrent = false
-    private var isChanging = false
-    private var changedAt = Duration.ZERO
-    private var absentSince: Duration? = null
+    private var isMembershipChanging = false
+    private var membershipChangedAt = Duration.ZERO
+    private var removedSince: Duration? = null
     private val log =
-        LogHost(Path.of(settings.dataFolder), self, settings.founding, transport, clock) { next -> loop.execute { take(next) } }
+        LogSupervisor(
+            Path.of(settings.dataFolder),
+            self,
+            settings.founding,
+            transport,
+            clock,
+        ) { next -> loop.execute { onStateApplied(next) } }
     private val server = FrameServer(loop, clock, self.host, self.port, ServerListener())
 
     /** True while a leader is known. */
     val isReady: Boolean get() = log.member?.status()?.leader != null
 
-    /** Voters that do not answer, as the leader sees it; 0 elsewhere. */
-    val silentVoters: Int get() = watch.silentVoters
+    /** Number of voters that do not answer, if this process is the leader; otherwise 0. */
+    val silentVoters: Int get() = voterMonitor.silentVoters
 
-    /** True if entries and agents that ask are told the state. */
+    /** True if this process sends the state to entries and agents. */
     val tellsState: Boolean get() = isCurrent
 
-    /** What this member knows of the log, or null while its disk cannot be used. */
+    /** Status of the log, or null while the disk is unusable. */
     internal val logStatus: LogStatus? get() = log.member?.status()
 
-    /** Members that vote, as far as this one knows. */
+    /** The voters, as this member knows them. */
     val voters: List<MemberAddress>
         get() =
             log.member
@@ -113,40 +119,40 @@
                 ?.voters
                 .orEmpty()
 
-    /** Starts to listen and to find the others. */
+    /** Starts the server and the connections to the other control processes. */
     fun start() {
         server.start()
-        if (!hasDisk) logDecision(Decision(kind = "log_none", reason = "no data folder: this process keeps no log and sends operators on"))
-        loop.every(TICK) { tick() }
+        if (!hasDisk) logDecision(Decision(kind = "log_none", reason = "no data folder: this process keeps no log and redirects operators"))
+        loop.every(TICK_INTERVAL) { tick() }
     }
 
-    /** A founder must know which of the seeds have a disk: the others keep no log. */
+    /** A founder first waits until it knows which seeds have a disk, because only those keep a log. */
     private fun startLog() {
         if (isLogStarted || !hasDisk) return
         val mustWait = settings.founding && self in seeds && !log.hasIdentity
-        val seen = processes.values.map { it.address } + self
-        if (mustWait && !seen.containsAll(seeds)) return
+        val knownAddresses = processes.values.map { it.address } + self
+        if (mustWait && !knownAddresses.containsAll(seeds)) return
         isLogStarted = true
         val diskless = processes.values.filterNot { it.hasDisk }.map { it.address }
         log.start(founders = seeds - diskless.toSet())
     }
 
-    /** Puts [catalog] in force unless a higher number is. */
+    /** Puts [catalog] in force unless a catalog with a higher number is. */
     suspend fun put(catalog: Catalog): OperatorResult = propose(CatalogCommand(catalog = catalog))
 
-    /** Takes [zone] out of service, or back. */
+    /** Takes [zone] out of service, or returns it to service. */
     suspend fun setZone(
         zone: ZoneId,
         isOut: Boolean,
     ): OperatorResult = propose(if (isOut) CatalogCommand(zoneOut = zone) else CatalogCommand(zoneIn = zone))
 
     /**
-     * Reads the state, no older than any change that was answered before this call. The reading goes through the log: a lease would not
-     * notice that this VM was suspended.
+     * Reads the state, which includes every change answered before this call. The read goes through the log, because a leader lease is
+     * unsafe if this VM was suspended.
      */
     suspend fun read(): OperatorResult = propose(CatalogCommand())
 
-    /** Looks for the others at [next] too. */
+    /** Replaces the seed addresses with [next]. */
     fun useSeeds(next: List<Address>) {
         seeds = next.map { LinkPorts.control(settings, it.host) }
     }
@@ -157,7 +163,7 @@
     }
 
     private suspend fun propose(command: CatalogCommand): OperatorResult {
-        val member = log.member ?: return sentOn()
+        val member = log.member ?: return redirectToMember()
         return when (val result = member.propose(WireJson.encodeToString(command))) {
             is ProposalResult.Applied -> {
                 val verdict = CatalogVerdict.valueOf(result.answer)
@@ -180,10 +186,10 @@
         }
     }
 
-    /** A process without a log knows no leader, but a member does. */
-    private fun sentOn(): OperatorResult {
+    /** Redirects to a member of the log, because a process without a log does not know the leader. */
+    private fun redirectToMember(): OperatorResult {
         val host =
-            told.values
+            receivedDirectories.values
                 .flatMap { it.controls }
                 .firstOrNull { it.address != self }
                 ?.address
@@ -191,22 +197,22 @@
         return OperatorResult.LedBy(host)
     }
 
-    private fun take(next: SharedState) {
+    private fun onStateApplied(next: SharedState) {
         if (next.index == 0L || next.index <= (state?.index ?: 0L)) return
         state = next
         val number = next.catalog?.number ?: "none"
         logDecision(Decision(kind = "state", reason = "index ${next.index}: catalog $number, zones out ${next.zonesOut}"))
-        tellState()
+        broadcastState()
     }
 
-    private fun tellState() {
+    private fun broadcastState() {
         val known = state?.takeIf { isCurrent } ?: return
         val text = stateFrame(known)
         processes.keys.forEach { it.send(text) }
     }
 
-    /** After a start the log is applied from its snapshot on; nobody is told what was in force long ago. */
-    private fun noteCurrent(status: LogStatus?) {
+    /** Until a restarted member has applied its whole log, its state may be outdated and is not sent. */
+    private fun updateIsCurrent(status: LogStatus?) {
         if (isCurrent || status == null) return
         isCurrent = status.leader != null && status.appliedIndex > 0 && status.appliedIndex == status.lastIndex
         if (isCurrent) {
@@ -214,10 +220,10 @@
                 Decision(kind = "state_current", reason = "index ${status.appliedIndex}, leader ${status.leader?.member}"),
             )
         }
-        tellState()
+        broadcastState()
     }
 
-    /** The operator's text stays here; the other processes need its queues only. */
+    /** Leaves out the catalog's source text, because other processes need only its parsed queues and services. */
     private fun stateFrame(state: SharedState) =
         WireJson.encodeToString(ControlFrame(state = state.copy(catalog = state.catalog?.copy(document = ""))))
 
@@ -225,36 +231,36 @@
         val now = clock.monotonic()
         startLog()
         val status = log.member?.status()
-        noteCurrent(status)
+        updateIsCurrent(status)
         val members = status?.membership?.let { it.voters + it.learners }.orEmpty()
-        // A newcomer knows no members, and the leader need not be at the address of a seed.
-        val others = if (members.isEmpty()) told.values.flatMap { it.controls } else members
+        // A new member knows no members yet, and the leader may not be at a seed address.
+        val others = if (members.isEmpty()) receivedDirectories.values.flatMap { it.controls } else members
         val addresses = (others.map { it.address } + seeds).toSet() - self
         (addresses - dialers.keys).forEach { dial(it) }
         (dialers.keys - addresses).forEach { dialers.remove(it)?.stop() }
         dialers.values.forEach { it.check(now) }
-        processes.keys.filter { now - it.heardAt > LINK_SILENCE }.forEach { it.close() }
-        beat(now)
-        tellDirectory(status)
-        leadsSince = if (status?.role == Role.LEADER) leadsSince ?: now else null
+        processes.keys.filter { now - it.heardAt > LINK_TIMEOUT }.forEach { it.close() }
+        sendHeartbeats(now)
+        broadcastDirectory(status)
+        leaderSince = if (status?.role == Role.LEADER) leaderSince ?: now else null
         status?.let { watchVoters(now, it) }
-        keepMembers(now)
-        leaveIfRemoved(now, status)
+        adjustMembership(now)
+        rejoinIfRemoved(now, status)
     }
 
-    private var beatAt = Duration.ZERO
+    private var heartbeatSentAt = Duration.ZERO
 
-    private fun beat(now: Duration) {
-        if (now - beatAt < BEAT_PERIOD) return
-        beatAt = now
+    private fun sendHeartbeats(now: Duration) {
+        if (now - heartbeatSentAt < HEARTBEAT_INTERVAL) return
+        heartbeatSentAt = now
         processes.keys.forEach { it.send(EMPTY_FRAME) }
-        val ask = log.identity?.takeIf { log.isJoining }
-        val text = if (ask == null) EMPTY_FRAME else WireJson.encodeToString(ControlFrame(joining = ask))
+        val joinRequest = log.identity?.takeIf { log.isJoining }
+        val text = if (joinRequest == null) EMPTY_FRAME else WireJson.encodeToString(ControlFrame(joining = joinRequest))
         dialers.values.forEach { it.link?.send(text) }
     }
 
-    /** Names only members of a confirmed change: others give up their log, or dial, by what they are told. */
-    private fun tellDirectory(status: LogStatus?) {
+    /** Lists only members of a confirmed change, because receivers discard their log or open links according to the directory. */
+    private fun broadcastDirectory(status: LogStatus?) {
         val entries = processes.values.filter { it.role == ProcessRole.ENTRY }
         val members = status?.takeIf { it.isSettled }?.membership
         val next =
@@ -273,73 +279,82 @@
         now: Duration,
         status: LogStatus,
     ) {
-        val since = leadsSince
+        val since = leaderSince
         val others = status.membership.voters.filter { it.address != self }
         val silence = others.associate { it.member to silence(now, since ?: now, it.member) }
-        watch.note(status.membership, since?.let { now - it }, silence, joining.values.associate { (member, at) -> member to now - at })
+        voterMonitor.update(
+            status.membership,
+            since?.let { now - it },
+            silence,
+            joinRequests.values.associate { (member, at) ->
+                member to
+                    now - at
+            },
+        )
     }
 
-    /** Returns how long [member] has not answered this process since it leads. */
+    /** Returns the time since [member] last answered this process, or since this process became the leader if that is later. */
     private fun silence(
         now: Duration,
-        leadsSince: Duration,
+        leaderSince: Duration,
         member: MemberId,
-    ) = now - maxOf(transport.lastAnswer(member) ?: leadsSince, leadsSince)
+    ) = now - maxOf(transport.lastAnsweredAt(member) ?: leaderSince, leaderSince)
 
-    private fun keepMembers(now: Duration) {
-        joining.values.removeAll { (_, at) -> now - at > JOIN_LIFE }
-        val since = leadsSince ?: return
+    private fun adjustMembership(now: Duration) {
+        joinRequests.values.removeAll { (_, at) -> now - at > JOIN_REQUEST_TIMEOUT }
+        val since = leaderSince ?: return
         val member = log.member ?: return
-        if (isChanging || now - changedAt < CHANGE_PERIOD) return
+        if (isMembershipChanging || now - membershipChangedAt < MEMBERSHIP_CHANGE_INTERVAL) return
         val silenceOf = { other: MemberAddress -> if (other.address == self) Duration.ZERO else silence(now, since, other.member) }
-        val view = MemberKeeper.View(member.status().membership, joining.values.map { it.first }, silenceOf, self, ::zoneOf)
-        val change = keeper.nextChange(view) ?: return
-        isChanging = true
-        changedAt = now
+        val view = MembershipPlanner.LeaderView(member.status().membership, joinRequests.values.map { it.first }, silenceOf, self, ::zoneOf)
+        val change = membershipPlanner.nextChange(view) ?: return
+        isMembershipChanging = true
+        membershipChangedAt = now
         scope.launch {
             val result = member.changeMembership(change)
             val reason = "${change.action.name.lowercase()} ${change.member} for ${change.replaces ?: "none"}: $result"
-            logDecision(Decision(kind = "membership", reason = reason.take(LONGEST_REASON)))
-            loop.execute { isChanging = false }
+            logDecision(Decision(kind = "membership", reason = reason.take(MAX_REASON_CHARACTERS)))
+            loop.execute { isMembershipChanging = false }
         }
     }
 
-    /** Every control process dials the members of the log, so the leader knows their zones from what they said first. */
+    /** Every control process connects to the members of the log, so the leader knows their zones from their hello. */
     private fun zoneOf(address: Address) = if (address == self) settings.zone else processes.values.find { it.address == address }?.zone
 
-    /** A member that the others have removed never votes again, so it joins anew. */
-    private fun leaveIfRemoved(
+    /** A removed member can never vote again, so it joins as a new member. */
+    private fun rejoinIfRemoved(
         now: Duration,
         status: LogStatus?,
     ) {
-        val own = log.identity?.member
-        val isAbsent = own != null && status != null && isRemoved(own, status.membership, status.isSettled, told.values)
-        absentSince = if (isAbsent) absentSince ?: now else null
-        val since = absentSince ?: return
-        if (now - since < ABSENT_FOR) return
-        absentSince = null
-        scope.launch { log.startAfresh() }
+        val ownId = log.identity?.member
+        val isRemovedByOthers =
+            ownId != null && status != null && isRemoved(ownId, status.membership, status.isSettled, receivedDirectories.values)
+        removedSince = if (isRemovedByOthers) removedSince ?: now else null
+        val since = removedSince ?: return
+        if (now - since < REJOIN_DELAY) return
+        removedSince = null
+        scope.launch { log.rejoinAsNewMember() }
     }
 
-    private val told = ConcurrentHashMap<Address, Directory>()
+    private val receivedDirectories = ConcurrentHashMap<Address, Directory>()
 
     private fun dial(address: Address) {
-        val dialer = FrameDialer(loop, clock, address, LINK_SILENCE, ClientListener(address))
+        val dialer = FrameDialer(loop, clock, address, LINK_TIMEOUT, ClientListener(address))
         dialers[address] = dialer
         dialer.start()
     }
 
     private fun hello() = ProcessHello(settings.node, ProcessRole.CONTROL, incarnation, settings.zone, self, hasDisk)
 
-    /** Links that other processes have dialled. */
+    /** Handles links that other processes have opened. */
     private inner class ServerListener : LinkListener {
         override fun onFrame(
             link: FrameLink,
             text: String,
         ) {
             val frame = WireJson.decodeFromString<ControlFrame>(text)
-            frame.hello?.let { welcome(link, it) }
-            frame.joining?.let { joining[it.address] = it to clock.monotonic() }
+            frame.hello?.let { register(link, it) }
+            frame.joining?.let { joinRequests[it.address] = it to clock.monotonic() }
             val call = frame.call ?: return
             scope.launch {
                 val reply = WireJson.encodeToString(ControlFrame(reply = log.answer(call)))
@@ -348,11 +363,11 @@
         }
 
         override fun onClosed(link: FrameLink) {
-            val gone = processes.remove(link) ?: return
-            logDecision(Decision(kind = "process_gone", reason = "${gone.role.name.lowercase()} ${gone.node}"))
+            val closedProcess = processes.remove(link) ?: return
+            logDecision(Decision(kind = "process_gone", reason = "${closedProcess.role.name.lowercase()} ${closedProcess.node}"))
         }
 
-        private fun welcome(
+        private fun register(
             link: FrameLink,
             hello: ProcessHello,
         ) {
@@ -363,7 +378,7 @@
         }
     }
 
-    /** Links that this process has dialled to other control processes. */
+    /** Handles links that this process has opened to other control processes. */
     private inner class ClientListener(
         private val address: Address,
     ) : LinkListener {
@@ -376,32 +391,32 @@
             if (text == EMPTY_FRAME) return
             val frame = WireJson.decodeFromString<ControlFrame>(text)
             frame.reply?.let { transport.onReply(it) }
-            frame.directory?.let { told[address] = it }
+            frame.directory?.let { receivedDirectories[address] = it }
         }
 
         override fun onClosed(link: FrameLink) {
-            told.remove(address)
+            receivedDirectories.remove(address)
         }
     }
 
     private companion object {
-        val TICK = 20.milliseconds
-        val BEAT_PERIOD = 400.milliseconds
+        val TICK_INTERVAL = 20.milliseconds
+        val HEARTBEAT_INTERVAL = 400.milliseconds
 
-        /** A link without a frame for this long is taken for lost: four beats. */
-        val LINK_SILENCE = 1600.milliseconds
+        /** A link without a frame for this long is closed: four heartbeats. */
+        val LINK_TIMEOUT = 1600.milliseconds
 
-        /** Longest time of a call between members: an election time. */
+        /** Timeout of a call between members; equals the election timeout. */
         val CALL_TIMEOUT = 700.milliseconds
 
-        val JOIN_LIFE = 2.seconds
+        val JOIN_REQUEST_TIMEOUT = 2.seconds
 
-        /** Pause between two changes of the members, so that a refused one is not tried and logged with each look at the time. */
-        val CHANGE_PERIOD = 500.milliseconds
+        /** Pause between two membership changes, so that a refused change is not retried and logged on every tick. */
+        val MEMBERSHIP_CHANGE_INTERVAL = 500.milliseconds
 
-        /** How long the others must name members without this one before it gives up its place. */
-        val ABSENT_FOR = 3.seconds
-        const val LONGEST_REASON = 300
+        /** How long the other members must report this one as removed before it joins as a new member. */
+        val REJOIN_DELAY = 3.seconds
+        const val MAX_REASON_CHARACTERS = 300
         const val EMPTY_FRAME = "{}"
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/LinkLogTransport.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/LinkLogTransport.kt
@@ -24,8 +24,8 @@
 import kotlin.time.Duration
 
 /**
- * Sends the messages of the replicated log over links between control processes. Each call names the member it is for, so that a member
- * with a new folder at the address of an old one never answers for it.
+ * Sends messages of the replicated log over links between control processes. Each call names the member it is meant for, so that a new
+ * member at the address of a former one never answers in its place.
  *
  * @param linkTo returns the link to a control process, or null; called on the event loop
  */
@@ -35,16 +35,16 @@
     private val timeout: Duration,
     private val linkTo: (Address) -> FrameLink?,
 ) : LogTransport {
-    private val numbers = AtomicLong()
-    private val open = ConcurrentHashMap<Long, CompletableDeferred<MemberReply>>()
+    private val callIds = AtomicLong()
+    private val pendingCalls = ConcurrentHashMap<Long, CompletableDeferred<MemberReply>>()
     private val answeredAt = ConcurrentHashMap<MemberId, Duration>()
 
     /** Returns when [member] last answered a call, or null. */
-    fun lastAnswer(member: MemberId): Duration? = answeredAt[member]
+    fun lastAnsweredAt(member: MemberId): Duration? = answeredAt[member]
 
-    /** Takes the reply to a call. */
+    /** Completes the pending call that [reply] answers. */
     fun onReply(reply: MemberReply) {
-        open.remove(reply.id)?.complete(reply)
+        pendingCalls.remove(reply.id)?.complete(reply)
     }
 
     override suspend fun vote(
@@ -64,18 +64,18 @@
 
     private suspend fun call(
         to: MemberAddress,
-        body: (Long) -> MemberCall,
+        buildCall: (Long) -> MemberCall,
     ): MemberReply? {
-        val id = numbers.incrementAndGet()
+        val id = callIds.incrementAndGet()
         val reply = CompletableDeferred<MemberReply>()
-        open[id] = reply
-        val text = WireJson.encodeToString(ControlFrame(call = body(id)))
+        pendingCalls[id] = reply
+        val text = WireJson.encodeToString(ControlFrame(call = buildCall(id)))
         loop.execute {
             val link = linkTo(to.address)
-            if (link == null) open.remove(id)?.complete(MemberReply(id)) else link.send(text)
+            if (link == null) pendingCalls.remove(id)?.complete(MemberReply(id)) else link.send(text)
         }
         val answer = withTimeoutOrNull(timeout) { reply.await() }
-        open.remove(id)
+        pendingCalls.remove(id)
         val isAnswered = answer?.vote != null || answer?.append != null || answer?.snapshot != null
         if (isAnswered) answeredAt[to.member] = clock.monotonic()
         return answer
--- a/control/src/main/kotlin/io/bluebellramp/control/node/LogHost.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/LogSupervisor.kt
@@ -33,12 +33,12 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Keeps a member of the replicated log running in [folder]: a disk that refuses a write ends the member, and it is started again from
- * what the disk holds. A damaged log counts as a lost disk.
+ * Keeps a member of the replicated log running on [folder]. A failed write stops the member, which is then restarted from the data on
+ * disk. A damaged log is treated like a lost disk.
  *
- * @param onState called with each state that the log has committed
+ * @param onState called with each committed state
  */
-internal class LogHost(
+internal class LogSupervisor(
     private val folder: Path,
     private val self: Address,
     isFounding: Boolean,
@@ -46,7 +46,7 @@
     private val clock: Clock,
     private val onState: (SharedState) -> Unit,
 ) : AutoCloseable {
-    /** False once the folder was set aside: a founder that forgot what it held must not take part under its old id. */
+    /** False once the folder was moved aside: a founder that lost its log must not take part under its old id. */
     @Volatile
     private var mayFound = isFounding
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
@@ -56,18 +56,18 @@
     private var running: Pair<MemberIdentity, LogMember>? = null
 
     @Volatile
-    private var machine: CatalogMachine? = null
+    private var machine: CatalogStateMachine? = null
 
-    /** The member, or null while its disk cannot be used. */
+    /** The member, or null while its disk is unusable. */
     val member: LogMember? get() = running?.second
 
-    /** Who this member is, or null while its disk cannot be used. */
+    /** The id and address of this member, or null while its disk is unusable. */
     val identity: MemberAddress? get() = running?.first?.let { MemberAddress(it.member, self) }
 
-    /** True if the folder tells who this member is. */
-    val hasIdentity: Boolean get() = MemberIdentity.isIn(folder)
+    /** True if the folder holds the identity of this member. */
+    val hasIdentity: Boolean get() = MemberIdentity.existsIn(folder)
 
-    /** True if this member waits to be added. */
+    /** True if this member is not a voter and waits to be added. */
     val isJoining: Boolean
         get() =
             running?.let { (identity, log) ->
@@ -77,29 +77,29 @@
                     .none { it.member == identity.member }
             } == true
 
-    /** Returns the state as of the last applied record, or null while the disk cannot be used. */
+    /** Returns the state after the last applied record, or null before the member has started. */
     fun state(): SharedState? = machine?.state?.value
 
     /**
-     * Starts the member, and again after each failure.
+     * Starts the member, and restarts it after each failure.
      *
-     * @param founders links' addresses of the first members
+     * @param founders link addresses of the initial members
      */
     fun start(founders: List<Address>) {
         scope.launch {
             while (isActive) {
-                val open = open(founders)
-                if (open != null) {
+                val openLog = openMember(founders)
+                if (openLog != null) {
                     failures.receive()
-                    open.close()
+                    openLog.close()
                     running = null
                 }
-                delay(RESTART_PERIOD)
+                delay(RESTART_DELAY)
             }
         }
     }
 
-    /** Answers a message of another member, without a body if it is for another one. */
+    /** Answers a message from another member; the reply is empty if the message is meant for a different member. */
     suspend fun answer(call: MemberCall): MemberReply {
         val (identity, log) = running ?: return MemberReply(call.id)
         if (call.to != identity.member) return MemberReply(call.id)
@@ -114,12 +114,12 @@
         }
     }
 
-    /** Gives up what the disk holds and joins as a new member, because the others have removed this one. */
-    fun startAfresh() {
-        val former = running ?: return
+    /** Discards the log and joins as a new member, because the other members have removed this one. */
+    fun rejoinAsNewMember() {
+        val removed = running ?: return
         running = null
-        former.second.close()
-        setAside("removed by the other members")
+        removed.second.close()
+        moveFolderAside("removed by the other members")
         failures.trySend(StorageError.Failed("removed by the other members"))
     }
 
@@ -128,39 +128,39 @@
         member?.close()
     }
 
-    private suspend fun open(founders: List<Address>): LogMember? {
+    private suspend fun openMember(founders: List<Address>): LogMember? {
         val identity =
             try {
-                MemberIdentity.of(folder, self, founders, mayFound)
+                MemberIdentity.loadOrCreate(folder, self, founders, mayFound)
             } catch (e: IOException) {
-                Logger.error("The data folder cannot be used: $e")
+                Logger.error("Cannot open the data folder; retrying: $e")
                 return null
             } catch (e: SerializationException) {
-                setAside("the identity of the member cannot be read: ${e.message}")
+                moveFolderAside("the identity of the member cannot be read: ${e.message}")
                 return null
             }
-        val machine = CatalogMachine()
+        val machine = CatalogStateMachine()
         val log =
             LogMember(
                 self = MemberAddress(identity.member, self),
                 founding = identity.founders,
                 joining = identity.founders.isEmpty(),
-                folder = folder.resolve(LOG),
+                folder = folder.resolve(LOG_FOLDER_NAME),
                 machine = machine,
                 transport = transport,
                 clock = clock,
-                settings = SETTINGS,
-                listener = Listener(identity),
+                settings = LOG_SETTINGS,
+                listener = MemberLogListener(identity),
             )
         return when (val start = log.start()) {
-            LogStart.Started -> log.also { follow(it, machine, identity) }
-            is LogStart.Refused -> null.also { refused(start.error) }
+            LogStart.Started -> log.also { publishStates(it, machine, identity) }
+            is LogStart.Refused -> null.also { handleRefusedStart(start.error) }
         }
     }
 
-    private fun follow(
+    private fun publishStates(
         log: LogMember,
-        machine: CatalogMachine,
+        machine: CatalogStateMachine,
         identity: MemberIdentity,
     ): Job {
         this.machine = machine
@@ -171,23 +171,23 @@
         }
     }
 
-    private fun refused(error: StorageError) {
-        Logger.error("The log cannot be used: ${error.message}")
-        if (error is StorageError.Corrupt) setAside(error.message)
+    private fun handleRefusedStart(error: StorageError) {
+        Logger.error("Cannot open the replicated log: ${error.message}")
+        if (error is StorageError.Corrupt) moveFolderAside(error.message)
     }
 
-    private fun setAside(reason: String) {
+    private fun moveFolderAside(reason: String) {
         mayFound = false
-        Logger.error("The folder of the log is set aside; this member joins as a new one: $reason")
+        Logger.error("Moving the data folder aside and joining as a new member: $reason")
         try {
             Files.move(folder, folder.resolveSibling("${folder.fileName}-aside"), StandardCopyOption.REPLACE_EXISTING)
         } catch (e: IOException) {
-            Logger.warn("The folder of the log cannot be moved, its files are removed: $e")
+            Logger.warn("Cannot move the data folder aside; deleting its files instead: $e")
             folder.toFile().listFiles()?.forEach { it.deleteRecursively() }
         }
     }
 
-    private inner class Listener(
+    private inner class MemberLogListener(
         private val identity: MemberIdentity,
     ) : LogListener {
         override fun onLeadership(status: LogStatus) {
@@ -197,25 +197,25 @@
         }
 
         override fun onStorageFailure(error: StorageError) {
-            Logger.error("The log of ${identity.member} has stopped: ${error.message}")
+            Logger.error("The replicated log of member ${identity.member} has stopped after a storage failure: ${error.message}")
             failures.trySend(error)
         }
     }
 
     private companion object {
-        const val LOG = "log"
+        const val LOG_FOLDER_NAME = "log"
 
-        /** A member shares its core with an entry and may stand still for some hundred milliseconds. */
+        /** A member shares its CPU core with an entry and may stall for several hundred milliseconds. */
         const val ELECTION_MILLIS = 700L
         const val HEARTBEAT_MILLIS = 150L
 
         /** A record may hold a catalog of 100 kB, and the smallest disk has 128 MB. */
         const val SNAPSHOT_RECORDS = 60
 
-        /** Several heartbeats. A newcomer that is only slow is taken up again, and one that lost its disk again does not bar the next one. */
+        /** Several heartbeats. A slow new member is tried again, and one that lost its disk again does not block the next one. */
         const val LEARNER_SILENCE_MILLIS = 1000L
 
-        val SETTINGS =
+        val LOG_SETTINGS =
             LogSettings(
                 electionMillis = ELECTION_MILLIS,
                 heartbeatMillis = HEARTBEAT_MILLIS,
@@ -225,7 +225,7 @@
                 namesReceiver = true,
             )
 
-        /** How often a disk that refuses is tried. */
-        val RESTART_PERIOD = 300.milliseconds
+        /** Delay before the member is started again after a disk failure. */
+        val RESTART_DELAY = 300.milliseconds
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/MemberIdentity.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/MemberIdentity.kt
@@ -14,11 +14,11 @@
 import java.nio.file.StandardOpenOption
 
 /**
- * Who this member of the replicated log is, kept beside its log.
+ * The identity of this member of the replicated log, stored beside its log.
  *
- * A member whose folder was emptied gets a new id and joins as a new member, so that it never votes on what it no longer knows.
+ * A member whose folder was emptied gets a new id and joins as a new member, so that it never votes without the log it had.
  *
- * @property founders the first members of the system; empty for a member that joins later
+ * @property founders the initial members of the cluster; empty for a member that joins later
  */
 @Serializable
 internal data class MemberIdentity(
@@ -26,37 +26,37 @@
     val founders: List<MemberAddress>,
 ) {
     companion object {
-        private const val FILE = "identity"
+        private const val FILE_NAME = "identity"
 
         /**
-         * Returns the identity in [folder], or makes and stores one.
+         * Returns the identity in [folder], or creates and stores one.
          *
-         * @param isFounding true only when the whole system starts for the first time
-         * @param seeds links' addresses of the first members
+         * @param isFounding true only when the whole cluster starts for the first time
+         * @param seeds link addresses of the initial members
          */
-        fun of(
+        fun loadOrCreate(
             folder: Path,
             self: Address,
             seeds: List<Address>,
             isFounding: Boolean,
         ): MemberIdentity {
             Files.createDirectories(folder)
-            val file = folder.resolve(FILE)
+            val file = folder.resolve(FILE_NAME)
             if (Files.exists(file)) return WireJson.decodeFromString(Files.readString(file))
-            val made =
+            val created =
                 if (isFounding && self in seeds) {
                     MemberIdentity(founderId(self), seeds.map { MemberAddress(founderId(it), it) })
                 } else {
                     MemberIdentity(MemberId("${founderId(self)}-${IncarnationId.next()}"), emptyList())
                 }
-            store(folder, file, WireJson.encodeToString(made))
-            return made
+            store(folder, file, WireJson.encodeToString(created))
+            return created
         }
 
-        /** Tells whether [folder] holds an identity. */
-        fun isIn(folder: Path): Boolean = Files.exists(folder.resolve(FILE))
+        /** Returns whether [folder] holds an identity. */
+        fun existsIn(folder: Path): Boolean = Files.exists(folder.resolve(FILE_NAME))
 
-        /** Founders know each other's ids from the seeds alone. */
+        /** Derives the id from the address, so that founders know each other's ids from the seeds alone. */
         private fun founderId(address: Address) = MemberId("c-${address.host}")
 
         private fun store(
@@ -64,12 +64,12 @@
             file: Path,
             text: String,
         ) {
-            val fresh = folder.resolve("$FILE.new")
-            FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING).use {
+            val temporaryFile = folder.resolve("$FILE_NAME.new")
+            FileChannel.open(temporaryFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING).use {
                 it.write(ByteBuffer.wrap(text.encodeToByteArray()))
                 it.force(true)
             }
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING)
+            Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING)
             FileChannel.open(folder, StandardOpenOption.READ).use { it.force(true) }
         }
     }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/Removal.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/Removal.kt
@@ -5,20 +5,20 @@
 import io.bluebellramp.messages.Membership
 
 /**
- * Tells whether the others have removed the member [own], so that its log counts for nothing any more.
+ * Returns whether the other members have removed the member [self], so that its log is obsolete.
  *
- * @param known the members as [own] knows them; one that was never a member can't be removed
- * @param isSettled false while [known] rests on a change that is not confirmed: until then the votes of the former members are needed
- * @param told committed members, as other control processes name them. Only a list that is newer than [known] counts: one that is behind
- * does not name a member that came later
+ * @param membership the membership as [self] knows it; a process that was never a member cannot be removed
+ * @param isSettled false while [membership] comes from an unconfirmed change: until then the votes of the former members are needed
+ * @param directories committed members as reported by other control processes. Only those newer than [membership] count, because an
+ * older one does not list members that joined later
  */
 internal fun isRemoved(
-    own: MemberId,
-    known: Membership,
+    self: MemberId,
+    membership: Membership,
     isSettled: Boolean,
-    told: Collection<Directory>,
+    directories: Collection<Directory>,
 ): Boolean {
-    if (own in known.retired) return isSettled
-    if ((known.voters + known.learners).none { it.member == own }) return false
-    return told.any { directory -> directory.controlsIndex > known.index && directory.controls.none { it.member == own } }
+    if (self in membership.retired) return isSettled
+    if ((membership.voters + membership.learners).none { it.member == self }) return false
+    return directories.any { directory -> directory.controlsIndex > membership.index && directory.controls.none { it.member == self } }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/BodyLimitTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/BodyLimitTest.kt
@@ -23,12 +23,12 @@
 
 private const val READ_TIMEOUT_MILLIS = 10_000
 
-/** A real server with the routes of a control process. */
+/** Tests the body limits of a control process with a real HTTP server. */
 class BodyLimitTest {
     private val address = Address("127.0.0.1:" + ServerSocket(0).use { it.localPort })
     private val self = MemberAddress(MemberId("control-1"), address)
     private val settings = ControlSettings(self.member, ZoneId("bergen-a"), address, dataFolder = "", members = listOf(self))
-    private val machine = ConfigurationMachine()
+    private val machine = ConfigurationStateMachine()
     private val control = Control(settings, FakeLog(machine, self), machine, ManualClock(elapsed = 60.seconds))
     private val server =
         httpServer(address, control, PrometheusRegistry(), limits = ConnectionLimits(request = 1.seconds)) {
@@ -37,18 +37,18 @@
         }.start(wait = false)
     private val limits =
         mapOf(
-            "/leases" to SMALL_BODY_BYTES,
-            "/claims" to CLAIMS_BODY_BYTES,
-            "/claims/release" to CLAIMS_BODY_BYTES,
-            "/log/vote" to SMALL_BODY_BYTES,
-            "/log/append" to LOG_BODY_BYTES,
-            "/log/snapshot" to LOG_BODY_BYTES,
+            "/leases" to MAX_SMALL_BODY_BYTES,
+            "/claims" to MAX_CLAIMS_BODY_BYTES,
+            "/claims/release" to MAX_CLAIMS_BODY_BYTES,
+            "/log/vote" to MAX_SMALL_BODY_BYTES,
+            "/log/append" to MAX_LOG_BODY_BYTES,
+            "/log/snapshot" to MAX_LOG_BODY_BYTES,
         )
 
     @AfterEach
     fun stop() = server.stop(0, 0)
 
-    /** Sends a call and returns the status of the answer. */
+    /** Sends a POST request and returns the response status. */
     private fun post(
         path: String,
         headers: String,
@@ -67,35 +67,35 @@
         }
 
     @Nested
-    inner class `A call of another process` {
+    inner class `A request from another process` {
         @Test
-        fun `with a body that says it is too large is refused before it is read`() =
+        fun `is refused by its Content-Length, before the body is read, if the body is too large`() =
             limits.forEach { (path, limit) -> assertEquals("413", post(path, "Content-Length: ${limit + 1}"), path) }
 
         @Test
-        fun `with a body that grows too large is refused`() {
-            val size = 2 * SMALL_BODY_BYTES.toInt()
+        fun `is refused if its chunked body becomes too large`() {
+            val size = 2 * MAX_SMALL_BODY_BYTES.toInt()
             val chunk = "${size.toString(radix = 16)}\r\n${" ".repeat(size)}\r\n"
             listOf("/leases", "/log/vote").forEach { assertEquals("413", post(it, "Transfer-Encoding: chunked", chunk), it) }
         }
 
         @Test
-        fun `with another body than its own is refused`() =
+        fun `is refused if the body is not of the expected type`() =
             limits.keys.forEach { path ->
                 listOf("{}", "{\"claims\"", "[]").forEach { assertEquals("400", post(path, "Content-Length: ${it.length}", it), path) }
             }
 
         @Test
-        fun `that comes too slowly, or with too many headers, is refused`() {
+        fun `is refused if it arrives too slowly or its headers are too large`() {
             assertEquals("408", post("/leases", "Content-Length: 9", "{"))
             assertTrue(post("/claims", "Fill: ${"x".repeat(ConnectionLimits().headerBytes)}\r\nContent-Length: 0") in setOf("400", "431"))
         }
     }
 
     @Test
-    fun `the largest change fits into a request between members`() {
-        val change = "\"".repeat(MAX_BODY_BYTES.toInt())
+    fun `the largest configuration change fits into an append request`() {
+        val change = "\"".repeat(MAX_OPERATOR_BODY_BYTES.toInt())
         val request = AppendRequest(1, self, 1, 1, 1, listOf(LogRecord(2, 1, RecordKind.COMMAND, change)), 1)
-        assertTrue(WireJson.encodeToString(request).length < LOG_BODY_BYTES)
+        assertTrue(WireJson.encodeToString(request).length < MAX_LOG_BODY_BYTES)
     }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/BoundLinkTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/BoundHttpClientTest.kt
@@ -16,8 +16,8 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFails
 
-class BoundLinkTest {
-    /** Answers the first request of each connection; closes a kept connection after it has read the second. */
+class BoundHttpClientTest {
+    /** Answers the first request of each connection, and closes the connection without a response after reading the second. */
     private class ClosingServer : AutoCloseable {
         private val server = ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))
         val requests = AtomicInteger()
@@ -55,12 +55,12 @@
     }
 
     @Nested
-    inner class `A link that is bound to an IP number` {
+    inner class `A client that is bound to an IP address` {
         @Test
-        fun `sends from it, keeps its connection, and sends nothing a second time`() {
+        fun `sends from that address, reuses its connection, and never retries a request`() {
             ClosingServer().use { server ->
                 runBlocking {
-                    boundLink("127.0.0.11").use { http ->
+                    boundHttpClient("127.0.0.11").use { http ->
                         assertEquals("ok", http.post(server.url) { setBody("first") }.bodyAsText())
                         assertFails { http.post(server.url) { setBody("second") } }
                     }
--- a/control/src/test/kotlin/io/bluebellramp/control/ClaimMemoryTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/ClaimMemoryTest.kt
@@ -18,12 +18,18 @@
     }
 
     @Test
-    fun `A claim takes less than 100 bytes of a member`() {
+    fun `A stored claim takes less than 100 bytes of heap`() {
         val clock = ManualClock()
-        val table = ClaimTable(MemberId("m1"), clock, LIFE, isFounder = true).apply { join(1, members("m1", "m2", "m3")) }
+        val table =
+            ClaimTable(
+                MemberId("m1"),
+                clock,
+                LEASE_DURATION,
+                isFounder = true,
+            ).apply { setMembership(1, members("m1", "m2", "m3")) }
         val before = usedBytes()
-        repeat(CLAIMS / BATCH) {
-            val claims = List(BATCH) { Claim(SubmissionId.create(clock.wall(), random.nextLong(), random.nextLong()), digest('a')) }
+        repeat(CLAIMS / BATCH_CLAIMS) {
+            val claims = List(BATCH_CLAIMS) { Claim(SubmissionId.create(clock.wall(), random.nextLong(), random.nextLong()), digest('a')) }
             table.claim(ClaimRequest(1, holder("a"), claims))
         }
         val bytes = (usedBytes() - before) / CLAIMS
@@ -34,6 +40,6 @@
 
     private companion object {
         const val CLAIMS = 700_000
-        const val BATCH = 1_000
+        const val BATCH_CLAIMS = 1_000
     }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/ClaimWorld.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/ClaimSimulation.kt
@@ -16,19 +16,19 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
-import io.bluebellramp.messages.ClaimTable as ClaimCopy
+import io.bluebellramp.messages.ClaimTable as ClaimTablePage
 
-/** Actions in virtual time, in the order of their times. */
-internal class Timeline(
+/** Runs actions in virtual time, ordered by their due time. */
+internal class VirtualTimeScheduler(
     val clock: ManualClock,
 ) {
     private class Timed(
-        val at: Duration,
+        val time: Duration,
         val number: Int,
         val action: () -> Unit,
     )
 
-    private val queue = PriorityQueue(compareBy<Timed>({ it.at }, { it.number }))
+    private val queue = PriorityQueue(compareBy<Timed>({ it.time }, { it.number }))
     private var number = 0
 
     fun after(
@@ -40,8 +40,8 @@
 
     fun run(until: Duration) {
         while (true) {
-            val next = queue.poll()?.takeIf { it.at <= until } ?: return
-            clock.elapsed = maxOf(clock.elapsed, next.at)
+            val next = queue.poll()?.takeIf { it.time <= until } ?: return
+            clock.elapsed = maxOf(clock.elapsed, next.time)
             next.action()
         }
     }
@@ -52,60 +52,60 @@
     val voters: Set<MemberId>,
 )
 
-/** Entries that claim and members that hold claims, with messages that are delayed, dropped and repeated, by seed. */
-internal class ClaimWorld(
+/** Simulates members that grant claims to entries; messages are delayed, dropped and duplicated at random. */
+internal class ClaimSimulation(
     private val random: Random,
 ) {
     val clock = ManualClock()
-    val time = Timeline(clock)
+    val timer = VirtualTimeScheduler(clock)
     private val isFounder = random.nextBoolean()
-    val members = members("m1", "m2", "m3").associateWith { ClaimTable(it, clock, LIFE, isFounder) as ClaimTable? }.toMutableMap()
+    val members = members("m1", "m2", "m3").associateWith { ClaimTable(it, clock, LEASE_DURATION, isFounder) as ClaimTable? }.toMutableMap()
     private var current = VoterSet(1, members.keys.toSet())
-    private val dropOneOf = listOf(3, 12).random(random)
-    private val names = generateSequence(4) { it + 1 }.map { MemberId("m$it") }.iterator()
+    private val dropInterval = listOf(3, 12).random(random)
+    private val newMemberIds = generateSequence(4) { it + 1 }.map { MemberId("m$it") }.iterator()
 
     init {
-        members.keys.forEach { learn(it, current) }
+        members.keys.forEach { learnMembership(it, current) }
         if (random.nextInt(5) > 0) clock.elapsed += 12.minutes
     }
 
     fun delay(): Duration = if (random.nextInt(12) == 0) random.nextInt(2500).milliseconds else random.nextInt(1, 60).milliseconds
 
-    fun isDropped() = random.nextInt(dropOneOf) == 0
+    fun isDropped() = random.nextInt(dropInterval) == 0
 
     fun membership() = current
 
-    private fun learn(
+    private fun learnMembership(
         member: MemberId,
         set: VoterSet,
     ) {
-        members[member]?.join(set.version, set.voters)
+        members[member]?.setMembership(set.version, set.voters)
     }
 
-    /** The member forgets all. It joins the last membership that it may know of. */
+    /** Restarts a member, which loses all claims. It first learns the membership at that time, and later the current one. */
     fun restart(member: MemberId) {
         if (members[member] == null) return
-        members[member] = ClaimTable(member, clock, LIFE)
+        members[member] = ClaimTable(member, clock, LEASE_DURATION)
         val known = current
-        time.after(delay()) { learn(member, known) }
-        time.after(delay() * 2) { learn(member, current) }
+        timer.after(delay()) { learnMembership(member, known) }
+        timer.after(delay() * 2) { learnMembership(member, current) }
     }
 
-    /** A member and its disk are lost for good; a new one is swapped in. Sometimes the lost one runs on, cut off by the others. */
+    /** Replaces a member by a new one. The replaced member is gone, or sometimes keeps running with its old membership. */
     fun replace(member: MemberId) {
         if (member !in current.voters) return
-        val fresh = names.next()
-        members[fresh] = ClaimTable(fresh, clock, LIFE)
-        learn(fresh, current)
+        val newMember = newMemberIds.next()
+        members[newMember] = ClaimTable(newMember, clock, LEASE_DURATION)
+        learnMembership(newMember, current)
         if (random.nextBoolean()) members[member] = null
-        commit(current.voters - member + fresh)
+        commit(current.voters - member + newMember)
     }
 
     fun add() =
-        names.next().let { fresh ->
-            members[fresh] = ClaimTable(fresh, clock, LIFE)
-            learn(fresh, current)
-            commit(current.voters + fresh)
+        newMemberIds.next().let { newMember ->
+            members[newMember] = ClaimTable(newMember, clock, LEASE_DURATION)
+            learnMembership(newMember, current)
+            commit(current.voters + newMember)
         }
 
     fun remove(member: MemberId) {
@@ -115,59 +115,59 @@
     private fun commit(voters: Set<MemberId>) {
         val set = VoterSet(current.version + 1, voters)
         current = set
-        voters.forEach { member -> time.after(delay()) { learn(member, set) } }
+        voters.forEach { member -> timer.after(delay()) { learnMembership(member, set) } }
     }
 
-    /** Each member copies what it lacks, some time after it asked for it. */
+    /** Makes each member copy missing claims periodically; each copy arrives with a delay. */
     fun copyAll() {
         members.forEach { (member, table) ->
-            table?.missing()?.forEach { source ->
-                val from = members[source]?.takeIf { it.copy(table.need, from = 0).complete }
-                val copies = from?.pages(table.need)
-                if (copies != null && !isDropped()) time.after(delay()) { members[member]?.takeIf { it === table }?.merge(source, copies) }
+            table?.uncopiedMembers()?.forEach { source ->
+                val from = members[source]?.takeIf { it.page(table.copyRequirement, fromBucket = 0).complete }
+                val pages = from?.pages(table.copyRequirement)
+                if (pages != null && !isDropped()) timer.after(delay()) { members[member]?.takeIf { it === table }?.merge(source, pages) }
             }
         }
-        time.after(100.milliseconds) { copyAll() }
+        timer.after(100.milliseconds) { copyAll() }
     }
 }
 
-/** An entry that keeps the rules for entries: it counts one round under one live lease. */
+/** An entry that follows the protocol: it counts the grants of one claim round under one valid lease. */
 internal class ClaimingEntry(
     name: String,
-    private val world: ClaimWorld,
+    private val simulation: ClaimSimulation,
     private val random: Random,
 ) {
     val holder = ClaimHolder(EntryId(name), IncarnationId("$name-1"), Address("127.0.0.1:7000"))
-    private var lease = world.membership()
-    private var leaseEnd = world.clock.elapsed + LIFE
+    private var lease = simulation.membership()
+    private var leaseEnd = simulation.clock.elapsed + LEASE_DURATION
     private var sequence = 0L
     var frozenUntil = Duration.ZERO
     val owned = mutableSetOf<SubmissionId>()
 
-    private val now get() = world.clock.elapsed
+    private val now get() = simulation.clock.elapsed
 
-    /** Time since which the entry has had no lease, as the leader sees it. */
-    fun absent(): Duration = now - (leaseEnd - LIFE)
+    /** Time since the entry sent the request for its last lease. */
+    fun timeSinceLastRenewal(): Duration = now - (leaseEnd - LEASE_DURATION)
 
     fun renew() {
-        val set = world.membership()
+        val set = simulation.membership()
         val sent = now
         if (random.nextInt(8) > 0 && now >= frozenUntil) {
-            world.time.after(world.delay()) {
+            simulation.timer.after(simulation.delay()) {
                 if (now >= frozenUntil && set.version >= lease.version) {
                     lease = set
-                    leaseEnd = maxOf(leaseEnd, sent + LIFE)
+                    leaseEnd = maxOf(leaseEnd, sent + LEASE_DURATION)
                 }
             }
         }
-        world.time.after(300.milliseconds) { renew() }
+        simulation.timer.after(300.milliseconds) { renew() }
     }
 
-    /** Claims [id] and calls [won] if it became the owner; otherwise gives up, which may arrive late. */
+    /** Claims [id] and calls [onGranted] if a majority granted the claim; otherwise may release it, which may arrive late. */
     fun claim(
         id: SubmissionId,
         takeover: IncarnationId? = null,
-        won: (sent: Duration) -> Unit,
+        onGranted: (sent: Duration) -> Unit,
     ) {
         if (now < frozenUntil || now >= leaseEnd) return
         val set = lease
@@ -178,19 +178,19 @@
         set.voters.forEach { member ->
             deliver { answer ->
                 val isGranted =
-                    world.members[member]
+                    simulation.members[member]
                         ?.claim(request)
                         ?.verdicts
                         ?.singleOrNull()
                         ?.granted ?: false
                 answer {
                     if (isGranted) grants++
-                    val counts = now - sent < ClaimTable.CLAIM_ROUND && now < leaseEnd && lease.version == set.version
-                    if (isGranted && counts && grants == set.voters.size / 2 + 1) won(sent)
+                    val counts = now - sent < ClaimTable.CLAIM_ROUND_TIMEOUT && now < leaseEnd && lease.version == set.version
+                    if (isGranted && counts && grants == set.voters.size / 2 + 1) onGranted(sent)
                 }
             }
         }
-        world.time.after(ClaimTable.CLAIM_ROUND) { if (id !in owned && random.nextBoolean()) release(id, round, set) }
+        simulation.timer.after(ClaimTable.CLAIM_ROUND_TIMEOUT) { if (id !in owned && random.nextBoolean()) release(id, round, set) }
     }
 
     private fun release(
@@ -198,17 +198,17 @@
         round: Long,
         set: VoterSet,
     ) = set.voters.forEach { member ->
-        deliver { _ -> world.members[member]?.release(ClaimRelease(holder.incarnation, listOf(id), round)) }
+        deliver { _ -> simulation.members[member]?.release(ClaimRelease(holder.incarnation, listOf(id), round)) }
     }
 
-    /** A request that is delayed, dropped or arrives twice; a frozen entry reads the answer when it wakes. */
+    /** Delivers a request, which may be delayed, dropped or duplicated. A frozen entry reads the response when it resumes. */
     private fun deliver(handle: (answer: (() -> Unit) -> Unit) -> Unit) {
-        if (world.isDropped()) return
+        if (simulation.isDropped()) return
         var isAnswered = false
         repeat(if (random.nextInt(10) == 0) 2 else 1) {
-            world.time.after(world.delay()) {
+            simulation.timer.after(simulation.delay()) {
                 handle { read ->
-                    world.time.after(maxOf(world.delay(), frozenUntil - now)) {
+                    simulation.timer.after(maxOf(simulation.delay(), frozenUntil - now)) {
                         if (!isAnswered) read()
                         isAnswered = true
                     }
@@ -218,13 +218,13 @@
     }
 }
 
-internal fun SubmissionId.Companion.near(
+internal fun SubmissionId.Companion.createNear(
     clock: ManualClock,
     random: Random,
 ) = create(clock.wall() + random.nextInt(-8000, 4000).milliseconds.toJavaDuration(), random.nextLong(), random.nextLong())
 
-internal val RUN = 40.seconds
+internal val SIMULATED_TIME = 40.seconds
 
-/** All pages of the claims of a member, as another one would copy them. */
-internal fun ClaimTable.pages(need: CopyNeed): List<ClaimCopy> =
-    generateSequence(copy(need, firstGroup())) { page -> page.next?.let { copy(need, it) } }.toList()
+/** Returns all pages of the claims of a member, as another member copies them. */
+internal fun ClaimTable.pages(copyRequirement: CopyRequirement): List<ClaimTablePage> =
+    generateSequence(page(copyRequirement, firstBucket())) { previous -> previous.next?.let { page(copyRequirement, it) } }.toList()
--- a/control/src/test/kotlin/io/bluebellramp/control/ClaimTableTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/ClaimTableTest.kt
@@ -21,7 +21,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-internal val LIFE = 2.seconds
+internal val LEASE_DURATION = 2.seconds
 
 internal fun holder(name: String) = ClaimHolder(EntryId(name), IncarnationId("$name-1"), Address("127.0.0.1:7000"))
 
@@ -33,11 +33,12 @@
     private val clock = ManualClock()
     private val table = table("m1")
 
-    private fun table(name: String) = ClaimTable(MemberId(name), clock, LIFE).apply { join(1, members("m1", "m2", "m3")) }
+    private fun table(name: String) =
+        ClaimTable(MemberId(name), clock, LEASE_DURATION).apply { setMembership(1, members("m1", "m2", "m3")) }
 
     private fun submission(age: Duration = Duration.ZERO) = SubmissionId.create(clock.wall() - age.toJavaDuration())
 
-    private fun ClaimTable.ask(
+    private fun ClaimTable.claimAs(
         id: SubmissionId,
         by: String,
         digest: Char = 'a',
@@ -63,82 +64,89 @@
     private fun ClaimTable.copyFrom(
         name: String,
         other: ClaimTable,
-    ) = merge(MemberId(name), other.pages(need))
+    ) = merge(MemberId(name), other.pages(copyRequirement))
 
-    private fun waitUntilFresh() {
-        clock.elapsed += ClaimTable.FUTURE_SLACK + 1.seconds
+    private fun waitUntilNewIdsAreDecided() {
+        clock.elapsed += ClaimTable.MAX_CLOCK_SKEW + 1.seconds
     }
 
     @Nested
     inner class `A claim` {
         init {
-            waitUntilFresh()
+            waitUntilNewIdsAreDecided()
         }
 
         @Test
-        fun `is held by the first claimant, who may ask again`() {
+        fun `is granted to the first claimant, which may claim again`() {
             val id = submission()
-            assertEquals(true, table.ask(id, "a")?.granted)
-            assertEquals(true, table.ask(id, "a")?.granted)
-            val second = table.ask(id, "b")
+            assertEquals(true, table.claimAs(id, "a")?.granted)
+            assertEquals(true, table.claimAs(id, "a")?.granted)
+            val second = table.claimAs(id, "b")
             assertEquals(ClaimVerdict(granted = false, holder = holder("a"), digest = digest('a')), second)
         }
 
         @Test
-        fun `with another body is refused to the holder too`() {
+        fun `with another digest is refused even to the holder`() {
             val id = submission()
-            table.ask(id, "a")
-            assertEquals(ClaimVerdict(granted = false, holder = holder("a"), digest = digest('a')), table.ask(id, "a", digest = 'b'))
+            table.claimAs(id, "a")
+            assertEquals(ClaimVerdict(granted = false, holder = holder("a"), digest = digest('a')), table.claimAs(id, "a", digest = 'b'))
         }
 
         @Test
         fun `is taken over from the named incarnation only`() {
             val id = submission()
-            table.ask(id, "a")
-            assertEquals(false, table.ask(id, "c", takeover = "b")?.granted)
-            assertEquals(true, table.ask(id, "b", takeover = "a")?.granted)
-            assertEquals(holder("b"), table.ask(id, "a")?.holder)
+            table.claimAs(id, "a")
+            assertEquals(false, table.claimAs(id, "c", takeover = "b")?.granted)
+            assertEquals(true, table.claimAs(id, "b", takeover = "a")?.granted)
+            assertEquals(holder("b"), table.claimAs(id, "a")?.holder)
         }
 
         @Test
         fun `is released by its holder only`() {
             val id = submission()
-            table.ask(id, "a")
+            table.claimAs(id, "a")
             table.release(ClaimRelease(holder("b").incarnation, listOf(id)))
-            assertEquals(false, table.ask(id, "b")?.granted)
+            assertEquals(false, table.claimAs(id, "b")?.granted)
             table.release(ClaimRelease(holder("a").incarnation, listOf(id)))
-            assertEquals(true, table.ask(id, "b")?.granted)
+            assertEquals(true, table.claimAs(id, "b")?.granted)
         }
 
         @Test
-        fun `on one submission too many is not granted, and those that are held still are`() {
-            val full = ClaimTable(MemberId("m1"), clock, LIFE, isFounder = true, mostClaims = 1).apply { join(1, members("m1")) }
+        fun `on a new submission is refused when the table is full, and existing claims are renewed`() {
+            val full =
+                ClaimTable(
+                    MemberId("m1"),
+                    clock,
+                    LEASE_DURATION,
+                    isFounder = true,
+                    maxClaims = 1,
+                ).apply { setMembership(1, members("m1")) }
             val id = submission()
-            assertEquals(true, full.ask(id, "a")?.granted)
-            assertEquals(ClaimVerdict(granted = false), full.ask(submission(), "a"))
-            assertEquals(true, full.ask(id, "a")?.granted)
+            assertEquals(true, full.claimAs(id, "a")?.granted)
+            assertEquals(ClaimVerdict(granted = false), full.claimAs(submission(), "a"))
+            assertEquals(true, full.claimAs(id, "a")?.granted)
         }
 
         @Test
-        fun `counted in another membership gets no verdict`() {
-            assertNull(table.ask(submission(), "a", version = 2))
+        fun `under another membership gets no verdict`() {
+            assertNull(table.claimAs(submission(), "a", version = 2))
         }
 
         @Test
-        fun `on an id that is expired or from the future gets no holder`() {
-            waitUntilFresh()
+        fun `on an expired or future id is refused without naming a holder`() {
+            waitUntilNewIdsAreDecided()
             clock.elapsed += 11.minutes
-            assertEquals(ClaimVerdict(granted = false), table.ask(submission(age = 10.minutes), "a"))
-            assertEquals(ClaimVerdict(granted = false), table.ask(submission(age = (-6).seconds), "a"))
-            assertEquals(true, table.ask(submission(age = 9.minutes), "a")?.granted)
+            assertEquals(ClaimVerdict(granted = false), table.claimAs(submission(age = 10.minutes), "a"))
+            assertEquals(ClaimVerdict(granted = false), table.claimAs(submission(age = (-6).seconds), "a"))
+            assertEquals(true, table.claimAs(submission(age = 9.minutes), "a")?.granted)
         }
 
         @Test
-        fun `is forgotten after its life and never granted again`() {
+        fun `expires after its lifetime and is never granted again`() {
             val id = submission()
-            table.ask(id, "a")
+            table.claimAs(id, "a")
             clock.elapsed += 12.minutes
-            assertEquals(ClaimVerdict(granted = false), table.ask(id, "b"))
+            assertEquals(ClaimVerdict(granted = false), table.claimAs(id, "b"))
             assertEquals(0, table.size)
         }
     }
@@ -147,88 +155,100 @@
     inner class `When the members change` {
         private val before = members("m1", "m2", "m3")
         private val after = members("m1", "m2", "m4")
-        private val tables = members("m1", "m2", "m4").associateWith { ClaimTable(it, clock, LIFE, isFounder = true) }
-        private val old = submission()
+        private val tables = members("m1", "m2", "m4").associateWith { ClaimTable(it, clock, LEASE_DURATION, isFounder = true) }
+        private val oldId = submission()
 
-        private fun of(name: String) = tables.getValue(MemberId(name))
+        private fun tableOf(name: String) = tables.getValue(MemberId(name))
 
         init {
-            tables.values.forEach { it.join(1, before) }
-            of("m1").ask(old, "a")
+            tables.values.forEach { it.setMembership(1, before) }
+            tableOf("m1").claimAs(oldId, "a")
         }
 
         @Test
-        fun `a new member judges an old id only once it copied the others in the new membership`() {
-            clock.elapsed += ClaimTable.CLAIM_ROUND
-            of("m4").join(2, after)
-            assertEquals(ClaimVerdict(granted = false), of("m4").ask(old, "b", version = 2))
-            assertFalse(of("m4").copyFrom("m1", of("m1")), "it may still grant in the old membership")
-            listOf("m1", "m2").forEach { of(it).join(2, after) }
-            listOf("m1", "m2").forEach { assertTrue(of("m4").copyFrom(it, of(it))) }
-            assertEquals(holder("a"), of("m4").ask(old, "b", version = 2)?.holder)
+        fun `a new member decides an old id only after copying from the others in the new membership`() {
+            clock.elapsed += ClaimTable.CLAIM_ROUND_TIMEOUT
+            tableOf("m4").setMembership(2, after)
+            assertEquals(ClaimVerdict(granted = false), tableOf("m4").claimAs(oldId, "b", version = 2))
+            assertFalse(tableOf("m4").copyFrom("m1", tableOf("m1")), "the source may still grant under the old membership")
+            listOf("m1", "m2").forEach { tableOf(it).setMembership(2, after) }
+            listOf("m1", "m2").forEach { assertTrue(tableOf("m4").copyFrom(it, tableOf(it))) }
+            assertEquals(holder("a"), tableOf("m4").claimAs(oldId, "b", version = 2)?.holder)
         }
 
         @Test
-        fun `ids made later are judged once no entry can count in the old membership`() {
-            of("m2").join(2, after)
-            clock.elapsed += ClaimTable.FUTURE_SLACK + LIFE
-            assertEquals(ClaimVerdict(granted = false), of("m2").ask(submission(), "b", version = 2))
-            clock.elapsed += ClaimTable.CLAIM_ROUND + 1.seconds
-            assertEquals(true, of("m2").ask(submission(), "b", version = 2)?.granted)
+        fun `new ids are decided once no entry can count grants under the old membership`() {
+            tableOf("m2").setMembership(2, after)
+            clock.elapsed += ClaimTable.MAX_CLOCK_SKEW + LEASE_DURATION
+            assertEquals(ClaimVerdict(granted = false), tableOf("m2").claimAs(submission(), "b", version = 2))
+            clock.elapsed += ClaimTable.CLAIM_ROUND_TIMEOUT + 1.seconds
+            assertEquals(true, tableOf("m2").claimAs(submission(), "b", version = 2)?.granted)
         }
 
         @Test
-        fun `a member that restarted copies only from members that have copied all themselves`() {
-            listOf("m1", "m2").forEach { of(it).join(2, after) }
-            val restarted = ClaimTable(MemberId("m4"), clock, LIFE).apply { join(2, after) }
-            clock.elapsed += ClaimTable.CLAIM_ROUND
-            assertFalse(restarted.copyFrom("m1", of("m1")))
-            assertTrue(of("m1").copyFrom("m2", of("m2")))
-            assertTrue(restarted.copyFrom("m1", of("m1")))
+        fun `a restarted member copies only from complete members`() {
+            listOf("m1", "m2").forEach { tableOf(it).setMembership(2, after) }
+            val restarted = ClaimTable(MemberId("m4"), clock, LEASE_DURATION).apply { setMembership(2, after) }
+            clock.elapsed += ClaimTable.CLAIM_ROUND_TIMEOUT
+            assertFalse(restarted.copyFrom("m1", tableOf("m1")))
+            assertTrue(tableOf("m1").copyFrom("m2", tableOf("m2")))
+            assertTrue(restarted.copyFrom("m1", tableOf("m1")))
         }
 
         @Test
-        fun `again before the claims were copied, both old memberships still count`() {
-            of("m1").join(2, after)
-            of("m1").join(3, members("m1", "m4", "m5"))
-            clock.elapsed += ClaimTable.CLAIM_ROUND
-            val fresh = ClaimTable(MemberId("m5"), clock, LIFE, isFounder = true).apply { join(3, members("m1", "m4", "m5")) }
-            assertTrue(of("m1").copyFrom("m5", fresh))
-            assertEquals(ClaimVerdict(granted = false), of("m1").ask(old, "b", version = 3))
+        fun `again before the claims are copied, both old memberships still count`() {
+            tableOf("m1").setMembership(2, after)
+            tableOf("m1").setMembership(3, members("m1", "m4", "m5"))
+            clock.elapsed += ClaimTable.CLAIM_ROUND_TIMEOUT
+            val fresh =
+                ClaimTable(
+                    MemberId("m5"),
+                    clock,
+                    LEASE_DURATION,
+                    isFounder = true,
+                ).apply { setMembership(3, members("m1", "m4", "m5")) }
+            assertTrue(tableOf("m1").copyFrom("m5", fresh))
+            assertEquals(ClaimVerdict(granted = false), tableOf("m1").claimAs(oldId, "b", version = 3))
         }
     }
 
     @Nested
     inner class `A founder of a new cluster` {
         @Test
-        fun `judges at once, and again only what it copied after the members changed`() {
-            val founder = ClaimTable(MemberId("m1"), clock, LIFE, isFounder = true).apply { join(1, members("m1", "m2", "m3")) }
+        fun `decides at once, but after a membership change only once it has copied the others`() {
+            val founder =
+                ClaimTable(
+                    MemberId("m1"),
+                    clock,
+                    LEASE_DURATION,
+                    isFounder = true,
+                ).apply { setMembership(1, members("m1", "m2", "m3")) }
             val id = submission()
-            assertEquals(true, founder.ask(id, "a")?.granted)
-            founder.join(2, members("m1", "m2", "m4"))
-            assertEquals(ClaimVerdict(granted = false), founder.ask(id, "a", version = 2))
-            clock.elapsed += ClaimTable.CLAIM_ROUND
-            assertEquals(members("m2", "m4"), founder.missing())
+            assertEquals(true, founder.claimAs(id, "a")?.granted)
+            founder.setMembership(2, members("m1", "m2", "m4"))
+            assertEquals(ClaimVerdict(granted = false), founder.claimAs(id, "a", version = 2))
+            clock.elapsed += ClaimTable.CLAIM_ROUND_TIMEOUT
+            assertEquals(members("m2", "m4"), founder.uncopiedMembers())
         }
     }
 
     @Nested
     inner class `A copy` {
         private fun table(claims: Int) =
-            ClaimTable(MemberId("m2"), clock, LIFE, isFounder = true).apply {
-                join(1, members("m1", "m2", "m3"))
-                repeat(claims) { ask(submission(age = (it % 300).seconds), "a") }
+            ClaimTable(MemberId("m2"), clock, LEASE_DURATION, isFounder = true).apply {
+                setMembership(1, members("m1", "m2", "m3"))
+                repeat(claims) { claimAs(submission(age = (it % 300).seconds), "a") }
             }
 
         @Test
-        fun `of few claims is one page, however far apart they are`() {
-            val pages = table(claims = 300).pages(CopyNeed.WHOLE)
+        fun `of few claims is one page, even if their ids span a long time`() {
+            val pages = table(claims = 300).pages(CopyRequirement.WHOLE)
             assertEquals(listOf(300), pages.map { it.claims.size })
         }
 
         @Test
-        fun `of many claims has several pages that miss none and repeat none`() {
-            val pages = table(claims = 5_000).pages(CopyNeed.WHOLE)
+        fun `of many claims has several pages without gaps or duplicates`() {
+            val pages = table(claims = 5_000).pages(CopyRequirement.WHOLE)
             assertTrue(pages.size in 2..4, "${pages.size} pages")
             assertEquals(
                 5_000,
@@ -243,81 +263,99 @@
     }
 
     @Nested
-    inner class `A member that restarted` {
+    inner class `A restarted member` {
         @Test
-        fun `takes no copy beyond its bound, and stays incomplete`() {
-            waitUntilFresh()
-            val other = ClaimTable(MemberId("m2"), clock, LIFE, isFounder = true).apply { join(1, members("m1", "m2", "m3")) }
-            other.ask(submission(), "a")
-            other.ask(submission(age = 1.minutes), "a")
-            val restarted = ClaimTable(MemberId("m1"), clock, LIFE, mostClaims = 1).apply { join(1, members("m1", "m2", "m3")) }
-            waitUntilFresh()
+        fun `copies no claims beyond its limit, and stays incomplete`() {
+            waitUntilNewIdsAreDecided()
+            val other =
+                ClaimTable(
+                    MemberId("m2"),
+                    clock,
+                    LEASE_DURATION,
+                    isFounder = true,
+                ).apply { setMembership(1, members("m1", "m2", "m3")) }
+            other.claimAs(submission(), "a")
+            other.claimAs(submission(age = 1.minutes), "a")
+            val restarted =
+                ClaimTable(
+                    MemberId("m1"),
+                    clock,
+                    LEASE_DURATION,
+                    maxClaims = 1,
+                ).apply { setMembership(1, members("m1", "m2", "m3")) }
+            waitUntilNewIdsAreDecided()
             assertFalse(restarted.copyFrom("m2", other))
             assertEquals(1, restarted.size)
-            assertFalse(restarted.isWhole())
+            assertFalse(restarted.isComplete())
         }
 
         @Test
-        fun `judges older ids only when every part was copied in the present membership`() {
-            waitUntilFresh()
+        fun `decides older ids only after all pages were copied under the current membership`() {
+            waitUntilNewIdsAreDecided()
             val id = submission()
-            val other = ClaimTable(MemberId("m2"), clock, LIFE, isFounder = true).apply { join(1, members("m1", "m2", "m3")) }
-            other.ask(id, "a")
+            val other =
+                ClaimTable(
+                    MemberId("m2"),
+                    clock,
+                    LEASE_DURATION,
+                    isFounder = true,
+                ).apply { setMembership(1, members("m1", "m2", "m3")) }
+            other.claimAs(id, "a")
             val restarted = table("m1")
-            waitUntilFresh()
-            assertTrue(other.pages(CopyNeed.WHOLE).all(restarted::mergePart))
-            assertNull(restarted.ask(id, "b")?.holder)
+            waitUntilNewIdsAreDecided()
+            assertTrue(other.pages(CopyRequirement.WHOLE).all(restarted::mergePage))
+            assertNull(restarted.claimAs(id, "b")?.holder)
             assertFalse(restarted.finishCopy(MemberId("m2"), version = 0))
-            assertFalse(restarted.isWhole())
+            assertFalse(restarted.isComplete())
             assertTrue(restarted.finishCopy(MemberId("m2"), version = 1))
             assertTrue(restarted.finishCopy(MemberId("m3"), version = 1))
-            assertEquals(holder("a"), restarted.ask(id, "b")?.holder)
+            assertEquals(holder("a"), restarted.claimAs(id, "b")?.holder)
         }
 
         @Test
-        fun `judges only ids made after its start, until it copied the claims of the others`() {
-            val old = submission()
+        fun `decides only ids created after its start, until it is complete`() {
+            val oldId = submission()
             val others = listOf("m2", "m3").associateWith { table(it) }
-            waitUntilFresh()
-            assertEquals(ClaimVerdict(granted = false), table.ask(old, "a"))
-            assertEquals(true, table.ask(submission(), "a")?.granted)
+            waitUntilNewIdsAreDecided()
+            assertEquals(ClaimVerdict(granted = false), table.claimAs(oldId, "a"))
+            assertEquals(true, table.claimAs(submission(), "a")?.granted)
             others.forEach { (name, other) -> assertFalse(table.copyFrom(name, other)) }
             clock.elapsed += 10.minutes
-            assertTrue(others.values.all { it.isWhole() })
-            assertTrue(table.isWhole())
+            assertTrue(others.values.all { it.isComplete() })
+            assertTrue(table.isComplete())
         }
 
         @Test
-        fun `knows the claims again once it copied every other member`() {
+        fun `knows the claims again after copying every other member`() {
             clock.elapsed += 12.minutes
             val (second, third) = listOf(table("m2"), table("m3"))
-            listOf(second, third).forEach { it.isWhole() }
+            listOf(second, third).forEach { it.isComplete() }
             clock.elapsed += 12.minutes
             val id = submission()
-            second.ask(id, "a")
+            second.claimAs(id, "a")
             val restarted = table("m1")
-            assertFalse(restarted.copyFrom("m2", second), "a round may still be counted")
+            assertFalse(restarted.copyFrom("m2", second), "an earlier claim round may still be counted")
             clock.elapsed += 1.seconds
             assertTrue(restarted.copyFrom("m2", second))
-            assertFalse(restarted.isWhole())
+            assertFalse(restarted.isComplete())
             assertTrue(restarted.copyFrom("m3", third))
-            assertEquals(holder("a"), restarted.ask(id, "b")?.holder)
+            assertEquals(holder("a"), restarted.claimAs(id, "b")?.holder)
         }
 
         @Test
-        fun `grants nobody a submission that the others hold differently, until one gives up`() {
+        fun `refuses a submission with conflicting claims until one of them is released`() {
             val (second, third) = listOf(table("m2"), table("m3"))
             clock.elapsed += 12.minutes
             val id = submission()
-            second.ask(id, "a")
-            third.ask(id, "b")
+            second.claimAs(id, "a")
+            third.claimAs(id, "b")
             val restarted = table("m1")
             clock.elapsed += 1.seconds
             restarted.copyFrom("m2", second)
             restarted.copyFrom("m3", third)
-            assertEquals(ClaimVerdict(granted = false), restarted.ask(id, "a"))
+            assertEquals(ClaimVerdict(granted = false), restarted.claimAs(id, "a"))
             restarted.release(ClaimRelease(holder("b").incarnation, listOf(id)))
-            assertEquals(true, restarted.ask(id, "a")?.granted)
+            assertEquals(true, restarted.claimAs(id, "a")?.granted)
         }
     }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/ConfigurationMachineTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/ConfigurationStateMachineTest.kt
@@ -38,11 +38,11 @@
     zonesIn = back.map(::ZoneId),
 )
 
-internal fun ConfigurationMachine.decide(request: ChangeRequest): ChangeResponse =
+internal fun ConfigurationStateMachine.decide(request: ChangeRequest): ChangeResponse =
     WireJson.decodeFromString(apply(0, WireJson.encodeToString(request)))
 
-class ConfigurationMachineTest {
-    private val machine = ConfigurationMachine().apply { decide(change("first", 0, base = BASE)) }
+class ConfigurationStateMachineTest {
+    private val machine = ConfigurationStateMachine().apply { decide(change("first", 0, base = BASE)) }
 
     private fun paths(request: ChangeRequest): List<String> {
         val response = machine.decide(request)
@@ -52,9 +52,9 @@
     }
 
     @Nested
-    inner class `A change that another one overtook` {
+    inner class `A change based on another revision than the current one` {
         @Test
-        fun `is told which change won, and changes nothing`() {
+        fun `is rejected with the winning change, and changes nothing`() {
             val won = machine.decide(change("mine", 1, out = listOf("bergen-a")))
             val lost = machine.decide(change("yours", 1, out = listOf("bergen-b")))
             assertEquals(ChangeOutcome.ACCEPTED, won.outcome)
@@ -65,15 +65,15 @@
         }
 
         @Test
-        fun `is refused also if it is based on a revision to come`() {
+        fun `is rejected also if that is a future revision`() {
             assertEquals(ChangeOutcome.CONFLICT, machine.decide(change("early", 7, out = listOf("bergen-a"))).outcome)
         }
     }
 
     @Nested
-    inner class `A change that is sent again` {
+    inner class `A resent change` {
         @Test
-        fun `gets its first answer and is applied once`() {
+        fun `gets its first response and is applied once`() {
             val request = change("mine", 1, out = listOf("bergen-a"))
             val first = machine.decide(request)
             machine.decide(change("next", 2, back = listOf("bergen-a")))
@@ -84,14 +84,14 @@
         }
 
         @Test
-        fun `is recognized when its members are in another order`() {
+        fun `is recognized when its JSON keys are in another order`() {
             val request = change("ordered", 1, overlays = mapOf("ogun" to json("""{"teams":{"a":{},"b":{}}}""")))
             val first = machine.decide(request)
             assertEquals(first, machine.decide(request.copy(overlays = mapOf("ogun" to json("""{"teams":{"b":{},"a":{}}}""")))))
         }
 
         @Test
-        fun `is refused if the id was used for another change`() {
+        fun `is invalid if the id was used for another change`() {
             machine.decide(change("mine", 1, out = listOf("bergen-a")))
             val other = machine.decide(change("mine", 2, out = listOf("bergen-b")))
             assertEquals(ChangeOutcome.INVALID, other.outcome)
@@ -99,8 +99,8 @@
         }
 
         @Test
-        fun `is not applied again once it is forgotten`() {
-            val small = ConfigurationMachine(rememberedChanges = 2)
+        fun `is not applied again when it is no longer kept`() {
+            val small = ConfigurationStateMachine(maxDecidedChanges = 2)
             val request = change("first", 0, base = BASE)
             small.decide(request)
             repeat(3) { small.decide(change("c$it", 1L + it, out = listOf("sagamu"))) }
@@ -111,7 +111,7 @@
     }
 
     @Nested
-    inner class `An invalid change names every violation by its path` {
+    inner class `The violations of an invalid change are listed with their paths` {
         @Test
         fun `in the base file`() {
             val base = json("""{"services":{"Bad Id":{}},"sites":{"s":{"zones":["z","z"]}}}""")
@@ -122,7 +122,7 @@
         }
 
         @Test
-        fun `in what an overlay makes of the base file`() {
+        fun `in the merged configuration of a site`() {
             val overlay = json("""{"services":{"permit-desk":{"slots":0}}}""")
             assertEquals(
                 listOf("$.overlays.ogun.services['permit-desk'].slots"),
@@ -131,7 +131,7 @@
         }
 
         @Test
-        fun `in an overlay for no site or of the sites`() {
+        fun `in an overlay for an unknown site, or one that changes sites`() {
             assertEquals(listOf("$.overlays.mars"), paths(change("c", 1, overlays = mapOf("mars" to json("""{"teams":{}}""")))))
             val overlay = json("""{"sites":{"ogun":{"zones":["ikorodu"]}}}""")
             assertEquals(listOf("$.overlays.ogun.sites"), paths(change("d", 1, overlays = mapOf("ogun" to overlay))))
@@ -156,10 +156,10 @@
     @Nested
     inner class `A snapshot` {
         @Test
-        fun `brings back the configuration, the answers and the winners`() {
+        fun `restores the configuration, the responses and the winners`() {
             val overlay = mapOf("ogun" to json("""{"services":{"permit-desk":{"slots":null}}}"""))
             val first = machine.decide(change("mine", 1, overlays = overlay, out = listOf("sagamu")))
-            val copy = ConfigurationMachine()
+            val copy = ConfigurationStateMachine()
             copy.restore(machine.snapshot())
             assertEquals(machine.configuration.value, copy.configuration.value)
             assertEquals(machine.snapshot(), copy.snapshot())
@@ -169,11 +169,11 @@
     }
 
     @Nested
-    inner class `Operators that race` {
+    inner class `Concurrent operators` {
         @Test
-        fun `get one acceptance for each revision, whatever is sent again`() =
+        fun `get exactly one accepted change per revision, even if requests are resent`() =
             forEachSeed { random ->
-                val machine = ConfigurationMachine().apply { decide(change("first", 0, base = BASE)) }
+                val machine = ConfigurationStateMachine().apply { decide(change("first", 0, base = BASE)) }
                 val sent = mutableListOf<Pair<ChangeRequest, ChangeResponse>>()
                 repeat(30) { step ->
                     val known = machine.configuration.value.revision.value
--- a/control/src/test/kotlin/io/bluebellramp/control/FakeLog.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/FakeLog.kt
@@ -16,9 +16,9 @@
 import io.bluebellramp.replication.ReplicatedLog
 import io.bluebellramp.replication.Role
 
-/** A log of one member that commits at once while it [leads]. */
+/** A single-member log that commits immediately while it [leads]. */
 internal class FakeLog(
-    private val machine: ConfigurationMachine,
+    private val machine: ConfigurationStateMachine,
     private val self: MemberAddress = MemberAddress(MemberId("control-1"), Address("127.0.0.1:1")),
 ) : ReplicatedLog {
     var leads = true
--- a/control/src/test/kotlin/io/bluebellramp/control/DeskTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/LeaseAndChangeManagerTest.kt
@@ -18,12 +18,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 @OptIn(ExperimentalCoroutinesApi::class)
-class DeskTest {
+class LeaseAndChangeManagerTest {
     private val clock = ManualClock(elapsed = 60.seconds)
-    private val machine = ConfigurationMachine()
+    private val machine = ConfigurationStateMachine()
     private val log = FakeLog(machine)
-    private val leases = LeaseDesk(log, machine, clock, LIFE) { null }
-    private val changes = ChangeDesk(log, machine, leases, clock)
+    private val leases = LeaseManager(log, machine, clock, LEASE_DURATION) { null }
+    private val changes = ConfigurationChangeManager(log, machine, leases, clock)
 
     private suspend fun submit(
         id: String,
@@ -31,9 +31,9 @@
     ) = changes.submit(change(id, 0, base = BASE), wait)
 
     @Nested
-    inner class `An entry that asks for a lease` {
+    inner class `An entry that requests a lease` {
         @Test
-        fun `gets it when the revision changes, or after a short hold`() =
+        fun `gets it when the revision changes, or after at most a quarter of the lease duration`() =
             runTest {
                 val unchanged = async { leases.answer(leaseRequest("a", waitMillis = 10_000)) }
                 assertTrue(unchanged.await().granted)
@@ -46,7 +46,7 @@
             }
 
         @Test
-        fun `is refused by a member that does not lead`() =
+        fun `is refused by a member that is not the leader`() =
             runTest {
                 log.leads = false
                 assertFalse(leases.answer(leaseRequest("a")).granted)
@@ -63,9 +63,9 @@
     }
 
     @Nested
-    inner class `A change whose answer was lost` {
+    inner class `A change whose response was lost` {
         @Test
-        fun `is known and applied once when it is sent again`() =
+        fun `is recognized and applied once when it is resent`() =
             runTest {
                 log.losesAnswers = true
                 assertEquals(ChangeResult.Unknown, submit("mine"))
@@ -77,9 +77,9 @@
     }
 
     @Nested
-    inner class `A caller that waits` {
+    inner class `A caller that waits for a change` {
         @Test
-        fun `is told after a bounded time that a change is not yet in force`() =
+        fun `is told after a limited time that it is not yet in force`() =
             runTest {
                 leases.answer(leaseRequest("a"))
                 val response = assertIs<ChangeResult.Decided>(submit("mine", wait = true)).response
@@ -92,7 +92,7 @@
         fun `is told that it is in force as soon as the entry has reported it`() =
             runTest {
                 leases.revisionInForce()
-                clock.elapsed += LIFE
+                clock.elapsed += LEASE_DURATION
                 leases.answer(leaseRequest("a"))
                 val waiting = async { submit("mine", wait = true) }
                 runCurrent()
@@ -104,11 +104,11 @@
     @Nested
     inner class `A candidate` {
         @Test
-        fun `counts the life of older leases from its election, not from its candidacy`() {
+        fun `waits for older leases to expire from its election, not from its candidacy`() {
             log.term = 2
             log.role = Role.CANDIDATE
             leases.revisionInForce()
-            clock.elapsed += LIFE
+            clock.elapsed += LEASE_DURATION
             log.role = Role.LEADER
             assertNull(leases.revisionInForce())
         }
--- a/control/src/test/kotlin/io/bluebellramp/control/LeaseTableTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/LeaseTableTest.kt
@@ -38,10 +38,10 @@
 
 class LeaseTableTest {
     private val clock = ManualClock()
-    private val table = LeaseTable(clock, life = 2.seconds)
+    private val table = LeaseTable(clock, leaseDuration = 2.seconds)
 
     init {
-        table.lead(term = 1)
+        table.enterTerm(term = 1)
         clock.elapsed = 10.seconds
     }
 
@@ -49,8 +49,8 @@
         request: LeaseRequest,
         revision: Long,
     ) {
-        table.report(request, clock.elapsed)
-        table.grant(request, clock.elapsed, Revision(revision))
+        table.recordRequest(request, clock.elapsed)
+        table.recordLease(request, clock.elapsed, Revision(revision))
     }
 
     private fun isInForce(revision: Long) = table.isInForce(Revision(revision), accepted = Revision(revision))
@@ -58,10 +58,10 @@
     @Nested
     inner class `A revision is in force` {
         @Test
-        fun `at once when no entry has a lease`() = assertTrue(isInForce(5))
+        fun `immediately if no entry has a lease`() = assertTrue(isInForce(5))
 
         @Test
-        fun `once each entry reported that its older permits are gone`() {
+        fun `once every entry has reported that its older permits expired`() {
             lease(leaseRequest("a", revision = 1), revision = 1)
             lease(leaseRequest("b", revision = 1), revision = 1)
             assertFalse(isInForce(2))
@@ -74,7 +74,7 @@
         }
 
         @Test
-        fun `once the older leases of a silent entry have run out`() {
+        fun `once the older leases of a silent entry have expired`() {
             lease(leaseRequest("a", revision = 1), revision = 1)
             clock.elapsed += 1999.milliseconds
             assertFalse(isInForce(2))
@@ -83,7 +83,7 @@
         }
 
         @Test
-        fun `only when the lease of an earlier run of the entry has run out too`() {
+        fun `only when the lease of an earlier incarnation of the entry has expired too`() {
             lease(leaseRequest("a", revision = 1), revision = 1)
             lease(leaseRequest("a", incarnation = "a-2", revision = 2), revision = 2)
             assertFalse(isInForce(2))
@@ -92,26 +92,26 @@
         }
 
         @Test
-        fun `only when the lease of an entry that left has run out`() {
+        fun `only when the lease of an entry that left has expired`() {
             lease(leaseRequest("a", revision = 1), revision = 1)
             lease(leaseRequest("a", revision = 1, leaving = true), revision = 1)
-            assertTrue(table.live().isEmpty())
+            assertTrue(table.livePeers().isEmpty())
             assertFalse(isInForce(2))
         }
 
         @Test
-        fun `one life after acceptance, also when the leader changes`() {
-            table.accept(Revision(2))
+        fun `one lease duration after acceptance, also if the leader changes`() {
+            table.recordAccepted(Revision(2))
             clock.elapsed += 1500.milliseconds
-            table.lead(term = 2)
+            table.enterTerm(term = 2)
             assertNull(table.revisionInForce(Revision(3)))
             clock.elapsed += 500.milliseconds
             assertEquals(Revision(2), table.revisionInForce(Revision(3)))
         }
 
         @Test
-        fun `only one life after an election`() {
-            table.lead(term = 4)
+        fun `only one lease duration after an election`() {
+            table.enterTerm(term = 4)
             clock.elapsed += 1999.milliseconds
             assertNull(table.revisionInForce(Revision(7)))
             clock.elapsed += 1.milliseconds
@@ -126,9 +126,9 @@
             lease(leaseRequest("a"), revision = 0)
             clock.elapsed += 1.seconds
             lease(leaseRequest("a", incarnation = "a-2"), revision = 0)
-            assertEquals(listOf("a-1", "a-2"), table.live().map { it.incarnation.value })
+            assertEquals(listOf("a-1", "a-2"), table.livePeers().map { it.incarnation.value })
             clock.elapsed += 2.seconds
-            assertEquals(listOf("a-2"), table.live().map { it.incarnation.value })
+            assertEquals(listOf("a-2"), table.livePeers().map { it.incarnation.value })
             assertEquals(2000, table.statuses().single().silentMillis)
         }
     }
--- a/control/src/test/kotlin/io/bluebellramp/control/ManualClock.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/ManualClock.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 import kotlin.time.toJavaDuration
 
-/** A clock that a test advances. */
+/** A clock that only the test advances. */
 internal class ManualClock(
     var elapsed: Duration = Duration.ZERO,
     private val epoch: Instant = Instant.parse("2026-12-04T05:00:00Z"),
--- a/control/src/test/kotlin/io/bluebellramp/control/Seeds.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/Seeds.kt
@@ -2,21 +2,21 @@
 
 import kotlin.random.Random
 
-private const val SEEDS = 1000
+private const val DEFAULT_SEED_COUNT = 1000
 
-/** Runs [history] for each seed and names the seed that failed. `bluebellramp.seed` chooses one, `bluebellramp.seeds` their number. */
-internal fun forEachSeed(history: (Random) -> Unit) {
-    val one = System.getProperty("bluebellramp.seed").orEmpty()
+/** Runs [run] with each seed and names a failing one. Property `bluebellramp.seed` selects one seed, `bluebellramp.seeds` their number. */
+internal fun forEachSeed(run: (Random) -> Unit) {
+    val singleSeed = System.getProperty("bluebellramp.seed").orEmpty()
     val count =
         System
             .getProperty("bluebellramp.seeds")
             .orEmpty()
-            .ifEmpty { "$SEEDS" }
+            .ifEmpty { "$DEFAULT_SEED_COUNT" }
             .toInt()
-    val seeds = if (one.isEmpty()) 0L until count else one.toLong()..one.toLong()
+    val seeds = if (singleSeed.isEmpty()) 0L until count else singleSeed.toLong()..singleSeed.toLong()
     for (seed in seeds) {
         try {
-            history(Random(seed))
+            run(Random(seed))
         } catch (e: Throwable) {
             throw AssertionError("seed $seed: ${e.message}", e)
         }
--- a/control/src/test/kotlin/io/bluebellramp/control/node/CatalogMachineTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/node/CatalogStateMachineTest.kt
@@ -6,8 +6,8 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-class CatalogMachineTest {
-    private val machine = CatalogMachine()
+class CatalogStateMachineTest {
+    private val machine = CatalogStateMachine()
     private var index = 0L
 
     private fun catalog(
@@ -23,7 +23,7 @@
     ) = apply(CatalogCommand(catalog = catalog(number, digest)))
 
     @Test
-    fun `the highest number is in force, whatever the order`() {
+    fun `the highest number is in force, regardless of the order`() {
         assertEquals("IN_FORCE", put(5))
         assertEquals("OVERTAKEN", put(3))
         assertEquals("IN_FORCE", put(9))
@@ -35,7 +35,7 @@
     }
 
     @Test
-    fun `a resend of the catalog in force is accepted again and changes nothing`() {
+    fun `resending the catalog in force succeeds and changes nothing`() {
         put(5)
         val before = machine.state.value
         assertEquals("IN_FORCE", put(5))
@@ -43,7 +43,7 @@
     }
 
     @Test
-    fun `another catalog under the number in force is refused and not read back`() {
+    fun `a different catalog with the number in force is refused and not stored`() {
         put(5)
         assertEquals("CONFLICT", put(5, digest = "other"))
         assertEquals(
@@ -54,7 +54,7 @@
     }
 
     @Test
-    fun `zones go out and come back, again and again`() {
+    fun `taking a zone out of service and returning it are idempotent`() {
         val zone = ZoneId("z")
         repeat(2) { assertEquals("IN_FORCE", apply(CatalogCommand(zoneOut = zone))) }
         assertEquals(listOf(zone), machine.state.value.zonesOut)
@@ -63,7 +63,7 @@
     }
 
     @Test
-    fun `a reading changes nothing`() {
+    fun `a read changes nothing`() {
         put(5)
         val before = machine.state.value
         apply(CatalogCommand())
@@ -71,10 +71,10 @@
     }
 
     @Test
-    fun `a snapshot brings back the whole state`() {
+    fun `a snapshot restores the whole state`() {
         put(5)
         apply(CatalogCommand(zoneOut = ZoneId("z")))
-        val copy = CatalogMachine()
+        val copy = CatalogStateMachine()
         copy.restore(machine.snapshot())
         assertEquals(machine.state.value, copy.state.value)
     }
