--- a/control/src/test/kotlin/io/bluebellramp/control/node/LogHostTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/node/LogSupervisorTest.kt
@@ -27,9 +27,9 @@
 import kotlin.test.assertNull
 import kotlin.test.assertTrue
 
-/** A member alone, on a real folder. */
-class LogHostTest {
-    private object NobodyElse : LogTransport {
+/** Tests a single member on a real folder. */
+class LogSupervisorTest {
+    private object UnreachableMembers : LogTransport {
         override suspend fun vote(
             to: MemberAddress,
             request: VoteRequest,
@@ -50,14 +50,14 @@
     lateinit var parent: Path
     private val folder by lazy { parent.resolve("data") }
     private val self = Address("127.0.0.1:9")
-    private val hosts = ArrayList<LogHost>()
+    private val supervisors = ArrayList<LogSupervisor>()
 
     @AfterEach
-    fun close() = hosts.forEach { it.close() }
+    fun close() = supervisors.forEach { it.close() }
 
-    private fun host() =
-        LogHost(folder, self, isFounding = true, NobodyElse, SystemClock) { }.also {
-            hosts += it
+    private fun supervisor() =
+        LogSupervisor(folder, self, isFounding = true, UnreachableMembers, SystemClock) { }.also {
+            supervisors += it
             it.start(listOf(self))
         }
 
@@ -69,60 +69,60 @@
             if (holds()) return
             TimeUnit.MILLISECONDS.sleep(20)
         }
-        error("it never came to pass: $what")
+        error("condition not met in time: $what")
     }
 
-    private fun LogHost.leads() = member?.status()?.leader != null
+    private fun LogSupervisor.leads() = member?.status()?.leader != null
 
-    private fun LogHost.takeOut(zone: String) =
+    private fun LogSupervisor.takeZoneOut(zone: String) =
         runBlocking {
             val command = CatalogCommand(zoneOut = ZoneId(zone))
             assertIs<ProposalResult.Applied>(checkNotNull(member).propose(WireJson.encodeToString(command)))
         }
 
     @Test
-    fun `a member that starts again is the same and knows what it held`() {
-        val first = host()
+    fun `a restarted member keeps its identity and state`() {
+        val first = supervisor()
         eventually("it leads") { first.leads() }
-        first.takeOut("z1")
+        first.takeZoneOut("z1")
         first.close()
-        val again = host()
+        val again = supervisor()
         eventually("it leads again") { again.leads() && again.state()?.zonesOut == listOf(ZoneId("z1")) }
         assertEquals(MemberId("c-127.0.0.1"), again.identity?.member)
         assertEquals(first.identity, again.identity)
     }
 
     @Test
-    fun `a member that the others removed joins under a new id and holds nothing`() {
-        val host = host()
-        eventually("it leads") { host.leads() }
-        host.takeOut("z1")
-        val former = host.identity
-        host.startAfresh()
-        eventually("it asks to join") { host.isJoining && host.identity != former }
-        assertNotEquals(former?.member, host.identity?.member)
-        assertEquals(emptyList(), host.state()?.zonesOut)
+    fun `a removed member joins under a new id with an empty state`() {
+        val supervisor = supervisor()
+        eventually("it leads") { supervisor.leads() }
+        supervisor.takeZoneOut("z1")
+        val former = supervisor.identity
+        supervisor.rejoinAsNewMember()
+        eventually("it asks to join") { supervisor.isJoining && supervisor.identity != former }
+        assertNotEquals(former?.member, supervisor.identity?.member)
+        assertEquals(emptyList(), supervisor.state()?.zonesOut)
     }
 
     @Test
     fun `a damaged identity counts as a lost disk`() {
-        val first = host()
+        val first = supervisor()
         eventually("it leads") { first.leads() }
         first.close()
         Files.writeString(folder.resolve("identity"), "{\"member\":")
-        val again = host()
+        val again = supervisor()
         eventually("it asks to join") { again.isJoining }
         assertNotEquals(MemberId("c-127.0.0.1"), again.identity?.member)
-        assertTrue(Files.exists(folder.resolveSibling("data-aside")), "what was there is kept")
+        assertTrue(Files.exists(folder.resolveSibling("data-aside")), "the old folder is kept")
     }
 
     @Test
-    fun `a disk that cannot be used is tried until it can`() {
+    fun `an unusable disk is retried until it is usable`() {
         Files.writeString(folder, "a file where the folder should be")
-        val host = host()
+        val supervisor = supervisor()
         TimeUnit.MILLISECONDS.sleep(500)
-        assertNull(host.member)
+        assertNull(supervisor.member)
         Files.delete(folder)
-        eventually("it leads") { host.leads() }
+        eventually("it leads") { supervisor.leads() }
     }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/node/LoopbackControls.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/node/LoopbackCluster.kt
@@ -13,22 +13,22 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Control processes on loopback, each at an address and with a folder of its own. The first three are the seeds.
+ * Control processes on loopback, each with its own address and folder. The first three are the seeds.
  */
-internal class LoopbackControls(
+internal class LoopbackCluster(
     private val folder: Path,
     count: Int,
     private val toleratedLosses: Int = 1,
     private val withoutDisk: Set<Int> = emptySet(),
 ) : AutoCloseable {
-    private class Started(
+    private class RunningControl(
         val node: ControlNode,
         val loop: EventLoop,
     )
 
     val hosts = List(count) { "127.0.0.${FIRST_HOST + it}" }
     private val port = (FIRST_PORT..LAST_PORT).shuffled().first { isFree(it + 1) }
-    private val running = LinkedHashMap<String, Started>()
+    private val running = LinkedHashMap<String, RunningControl>()
 
     fun start(
         host: String,
@@ -39,7 +39,7 @@
                 node = host,
                 zone = ZoneId("z"),
                 host = host,
-                seeds = hosts.take(SEEDS).map { Address("$it:1") },
+                seeds = hosts.take(SEED_COUNT).map { Address("$it:1") },
                 firstPort = port,
                 lastPort = port + 10,
                 dataFolder = if (hosts.indexOf(host) in withoutDisk) "" else folder.resolve(host).toString(),
@@ -48,7 +48,7 @@
             )
         val loop = EventLoop()
         val node = ControlNode(settings, loop, SystemClock)
-        running[host] = Started(node, loop)
+        running[host] = RunningControl(node, loop)
         loop.execute { node.start() }
     }
 
@@ -59,51 +59,51 @@
         TimeUnit.MILLISECONDS.sleep(500)
     }
 
-    fun loseDisk(host: String) {
+    fun deleteDisk(host: String) {
         check(host !in running) { "$host runs" }
         folder.resolve(host).toFile().deleteRecursively()
     }
 
-    /** Takes [zone] out through whoever leads; returns the zones out, or null if that is not certain. */
-    fun takeOut(zone: String): List<ZoneId>? = leaderAnd(zone)?.second
+    /** Takes [zone] out of service at the leader; returns the zones out of service, or null if the outcome is unknown. */
+    fun takeZoneOut(zone: String): List<ZoneId>? = takeZoneOutAtLeader(zone)?.second
 
-    /** Returns the host of the process that leads. */
-    fun leader(zone: String): String? = leaderAnd(zone)?.first
+    /** Returns the host of the leader, found by taking [zone] out of service. */
+    fun leader(zone: String): String? = takeZoneOutAtLeader(zone)?.first
 
     private fun isFree(port: Int) = runCatching { ServerSocket(port).close() }.isSuccess
 
-    private fun leaderAnd(zone: String): Pair<String, List<ZoneId>>? =
-        running.entries.firstNotNullOfOrNull { (host, started) ->
-            val result = runBlocking { started.node.setZone(ZoneId(zone), isOut = true) }
+    private fun takeZoneOutAtLeader(zone: String): Pair<String, List<ZoneId>>? =
+        running.entries.firstNotNullOfOrNull { (host, control) ->
+            val result = runBlocking { control.node.setZone(ZoneId(zone), isOut = true) }
             (result as? OperatorResult.Done)?.let { host to it.state.zonesOut }
         }
 
     /**
-     * Tells whether all name the member at [host] as a voter, under an id that is not that of a founder or of [former], by a change that is
-     * confirmed: until then a majority of the former voters is needed too.
+     * Returns whether all processes list the member at [host] as a voter under a new id, which is neither that of a founder nor [formerId],
+     * from a confirmed change: until then a majority of the former voters is needed too.
      */
-    fun isVoterAnew(
+    fun isVoterAgain(
         host: String,
-        former: String = "c-$host",
-    ) = running.values.all { started ->
+        formerId: String = "c-$host",
+    ) = running.values.all { control ->
         val ids =
-            started.node.voters
+            control.node.voters
                 .filter { it.address.host == host }
                 .map { it.member.value }
-        val isConfirmed = started.node.logStatus?.isJoint == false
-        isConfirmed && ids.size == 1 && ids.single() != "c-$host" && ids.single() != former
+        val isConfirmed = control.node.logStatus?.isJoint == false
+        isConfirmed && ids.size == 1 && ids.single() != "c-$host" && ids.single() != formerId
     }
 
-    /** Tells whether all with a disk know [count] voters, by a change that is confirmed. */
-    fun haveVoters(count: Int) =
+    /** Returns whether all processes with a disk know [count] voters from a confirmed change. */
+    fun allKnowVoters(count: Int) =
         running.filterKeys { hosts.indexOf(it) !in withoutDisk }.values.all {
             it.node.voters.size == count && it.node.logStatus?.isJoint == false
         }
 
-    /** Returns what the process at [host] answers a reading. */
+    /** Returns the result of a read at [host]. */
     fun read(host: String): OperatorResult = runBlocking { running.getValue(host).node.read() }
 
-    /** Returns the id of the voter at [host], as the process there knows it. */
+    /** Returns the id of the voter at [host], as that process knows it. */
     fun voterId(host: String): String? =
         running[host]
             ?.node
@@ -114,30 +114,30 @@
 
     fun eventually(
         what: String,
-        longest: Duration = LONGEST,
+        timeout: Duration = DEFAULT_TIMEOUT,
         holds: () -> Boolean,
     ) {
-        val end = System.nanoTime() + longest.inWholeNanoseconds
+        val end = System.nanoTime() + timeout.inWholeNanoseconds
         while (System.nanoTime() < end) {
             if (holds()) return
             TimeUnit.MILLISECONDS.sleep(50)
         }
-        error("it did not come to pass within $longest: $what\n" + describe())
+        error("condition not met within $timeout: $what\n" + describe())
     }
 
-    private fun describe() = running.entries.joinToString("\n") { (host, started) -> "$host ${started.node.logStatus}" }
+    private fun describe() = running.entries.joinToString("\n") { (host, control) -> "$host ${control.node.logStatus}" }
 
     override fun close() = running.keys.toList().forEach { stop(it) }
 
     companion object {
         private const val FIRST_HOST = 11
-        private const val SEEDS = 3
+        private const val SEED_COUNT = 3
 
-        /** Below the ports that the kernel gives to outgoing connections, which could take the port of a control that is down. */
+        /** Below the kernel's ephemeral ports, so that no outgoing connection takes the port of a stopped control. */
         private const val FIRST_PORT = 20_000
         private const val LAST_PORT = 30_000
 
-        /** A voter must be silent for 5 s, and a member with an empty disk is silent for four election times before it joins. */
-        val LONGEST = 30.seconds
+        /** Covers the time until a silent voter is replaced, and the four election timeouts that a member with an empty disk waits. */
+        val DEFAULT_TIMEOUT = 30.seconds
     }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/node/MemberIdentityTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/node/MemberIdentityTest.kt
@@ -15,37 +15,37 @@
     lateinit var folder: Path
     private val seeds = listOf("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1").map(::Address)
 
-    private fun of(
+    private fun identity(
         self: Address = seeds[0],
         isFounding: Boolean = true,
-    ) = MemberIdentity.of(folder, self, seeds, isFounding)
+    ) = MemberIdentity.loadOrCreate(folder, self, seeds, isFounding)
 
     @Test
     fun `founders know each other's ids from the seeds alone`() {
-        val here = of()
-        val there = MemberIdentity.of(folder.resolve("other"), seeds[2], seeds, isFounding = true)
+        val here = identity()
+        val there = MemberIdentity.loadOrCreate(folder.resolve("other"), seeds[2], seeds, isFounding = true)
         assertEquals(here.founders, there.founders)
         assertEquals(listOf("c-10.0.0.1", "c-10.0.0.2", "c-10.0.0.3"), here.founders.map { it.member.value })
         assertEquals(MemberId("c-10.0.0.3"), there.member)
     }
 
     @Test
-    fun `a start with the same folder gives the same identity, whatever the settings say by then`() {
-        val first = of()
-        assertEquals(first, of(isFounding = false))
-        assertEquals(first, MemberIdentity.of(folder, seeds[0], listOf(Address("10.9.9.9:1")), isFounding = true))
+    fun `the identity in a folder stays the same, even if the settings change`() {
+        val first = identity()
+        assertEquals(first, identity(isFounding = false))
+        assertEquals(first, MemberIdentity.loadOrCreate(folder, seeds[0], listOf(Address("10.9.9.9:1")), isFounding = true))
     }
 
     @Test
-    fun `a member with an empty folder joins under an id that no other start gives`() {
-        val first = of(isFounding = false)
+    fun `a member with an empty folder joins under a new unique id`() {
+        val first = identity(isFounding = false)
         assertTrue(first.founders.isEmpty())
         Files.delete(folder.resolve("identity"))
-        assertNotEquals(first.member, of(isFounding = false).member)
+        assertNotEquals(first.member, identity(isFounding = false).member)
     }
 
     @Test
     fun `a process that is not among the seeds joins`() {
-        assertTrue(of(self = Address("10.0.0.9:1")).founders.isEmpty())
+        assertTrue(identity(self = Address("10.0.0.9:1")).founders.isEmpty())
     }
 }
--- a/control/src/test/kotlin/io/bluebellramp/control/node/RemovalTest.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/node/RemovalTest.kt
@@ -12,7 +12,7 @@
     private class Case(
         val name: String,
         val known: Membership,
-        val told: List<Directory>,
+        val directory: List<Directory>,
         val isRemoved: Boolean,
         val isSettled: Boolean = true,
     )
@@ -26,35 +26,35 @@
         retired: List<MemberId> = emptyList(),
     ) = Membership(index, members(ids), members(learners), retired)
 
-    private fun told(
+    private fun directory(
         index: Long,
         ids: String,
     ) = Directory(controls = members(ids), controlsIndex = index, entries = emptyList())
 
     private val cases =
         listOf(
-            Case("it hears nothing of others", known(9, "abn"), emptyList(), false),
+            Case("no directory was received", known(9, "abn"), emptyList(), false),
             Case(
-                "two that are behind do not name a member that came later",
+                "two older directories do not list a member that joined later",
                 known(9, "abn"),
-                listOf(told(1, "abc"), told(1, "abc")),
+                listOf(directory(1, "abc"), directory(1, "abc")),
                 false,
             ),
-            Case("a newer list does not name it", known(9, "abn"), listOf(told(12, "abc")), true),
-            Case("a newer list names it", known(9, "abn"), listOf(told(12, "abn")), false),
-            Case("its own log says so", known(9, "abc", retired = listOf(MemberId("n"))), emptyList(), true),
+            Case("a newer directory does not list it", known(9, "abn"), listOf(directory(12, "abc")), true),
+            Case("a newer directory lists it", known(9, "abn"), listOf(directory(12, "abn")), false),
+            Case("its own log says that it was removed", known(9, "abc", retired = listOf(MemberId("n"))), emptyList(), true),
             Case(
-                "its own log says so by a change that is not confirmed",
+                "its own log says so, but the change is not confirmed",
                 known(9, "abc", retired = listOf(MemberId("n"))),
                 emptyList(),
                 isRemoved = false,
                 isSettled = false,
             ),
-            Case("a learner that was removed", known(9, "abc", learners = "n"), listOf(told(12, "abc")), true),
-            Case("a newcomer that nobody has taken in yet", known(0, ""), listOf(told(12, "abc")), false),
+            Case("a learner that was removed", known(9, "abc", learners = "n"), listOf(directory(12, "abc")), true),
+            Case("a process that was never a member", known(0, ""), listOf(directory(12, "abc")), false),
         )
 
     @Test
-    fun `a member gives up its log only once a newer list leaves it out`() =
-        cases.forEach { assertEquals(it.isRemoved, isRemoved(MemberId("n"), it.known, it.isSettled, it.told), it.name) }
+    fun `a member counts as removed only by a newer directory or its own confirmed log`() =
+        cases.forEach { assertEquals(it.isRemoved, isRemoved(MemberId("n"), it.known, it.isSettled, it.directory), it.name) }
 }
