--- a/cli/src/main/kotlin/io/bluebellramp/cli/Changes.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/ApplyChange.kt
@@ -10,28 +10,29 @@
 import io.bluebellramp.runtime.wording
 import java.util.UUID
 
-/** Makes the change that [edit] describes and prints what became of it. Returns the exit code. */
+/** Submits the change that [edit] fills in, and prints its outcome. Returns the exit code. */
 internal suspend fun applyChange(
     session: Session,
     options: ChangeOptions,
     edit: (ChangeRequest) -> ChangeRequest,
 ): Int {
     val basedOn =
-        when (val given = options.basedOn) {
-            null -> session.control.configuration().let { if (it is CallResult.Answered) it.value.revision else return it.fail(session) }
-            else -> Revision(given.toLong())
+        when (val revision = options.basedOn) {
+            null -> session.control.configuration().let { if (it is CallResult.Success) it.value.revision else return it.printTo(session) }
+            else -> Revision(revision.toLong())
         }
-    val change = ChangeId(options.change ?: UUID.randomUUID().toString())
+    val change = ChangeId(options.changeId ?: UUID.randomUUID().toString())
     val request = edit(ChangeRequest(change = change, basedOn = basedOn, author = options.author ?: System.getenv("USER")))
-    return session.control.change(request, wait = !options.noWait).report(session.output) { response ->
-        session.output.print(response, ChangeResponse.serializer()) { it.text() }
+    return session.control.change(request, wait = !options.noWait).printFailureOr(session.output) { response ->
+        session.output.print(response, ChangeResponse.serializer()) { it.toText() }
         if (response.outcome == ChangeOutcome.ACCEPTED && (options.noWait || response.inForce)) ExitCode.OK else ExitCode.REFUSED
     }
 }
 
-private fun CallResult<ConfigurationView>.fail(session: Session): Int = session.output.failure(this as CallResult.Failure)
+/** Prints this failure and returns the exit code. */
+private fun CallResult<ConfigurationView>.printTo(session: Session): Int = session.output.printFailure(this as CallResult.Failure)
 
-private fun ChangeResponse.text(): String =
+private fun ChangeResponse.toText(): String =
     when (outcome) {
         ChangeOutcome.ACCEPTED -> acceptedText()
 
--- a/cli/src/main/kotlin/io/bluebellramp/cli/CallResult.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/CallResult.kt
@@ -9,52 +9,52 @@
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.SerializationException
 
-/** What came of a call to a process of the system. */
+/** The result of a call to a control process or an entry. */
 internal sealed interface CallResult<out T> {
-    /** The call was answered with [value]. */
-    data class Answered<T>(
+    /** The call succeeded and returned [value]. */
+    data class Success<T>(
         val value: T,
     ) : CallResult<T>
 
-    /** The call gave no value. */
+    /** The call returned no value. */
     sealed interface Failure : CallResult<Nothing>
 
-    /** The system refused the call. */
+    /** The process refused the call with [error]. */
     data class Refused(
         val error: ErrorBody,
     ) : Failure
 
-    /** No process answered. If [mayHaveArrived], it is unknown whether the call had an effect. */
+    /** No process answered. If [mayHaveArrived] is true, it is unknown whether the call took effect. */
     data class Unreachable(
         val message: String,
         val mayHaveArrived: Boolean = true,
     ) : Failure
 }
 
-/** Calls [use] with the value, or prints the failure. Returns the exit code. */
-internal inline fun <T> CallResult<T>.report(
+/** Passes the value to [onSuccess], or prints the failure. Returns the exit code. */
+internal inline fun <T> CallResult<T>.printFailureOr(
     output: Output,
-    use: (T) -> Int,
+    onSuccess: (T) -> Int,
 ): Int =
     when (this) {
-        is CallResult.Answered -> use(value)
-        is CallResult.Failure -> output.failure(this)
+        is CallResult.Success -> onSuccess(value)
+        is CallResult.Failure -> output.printFailure(this)
     }
 
 /**
- * Decodes the body as [serializer] says on success, and as [ErrorBody] otherwise.
+ * Decodes the body with [serializer], or as an [ErrorBody] if the status is an error.
  *
- * A body that is no [ErrorBody] may be a value with any status: an entry says `not_run` with 429 and 503.
+ * A response with an error status may hold a value instead of an [ErrorBody]: an entry sends the outcome `not_run` with status 429 or 503.
  */
-internal suspend fun <T> HttpResponse.decode(serializer: KSerializer<T>): CallResult<T> {
+internal suspend fun <T> HttpResponse.toCallResult(serializer: KSerializer<T>): CallResult<T> {
     val text = bodyAsText()
-    val error = if (status.isSuccess()) null else read(ErrorBody.serializer(), text)
+    val error = if (status.isSuccess()) null else decodeOrNull(ErrorBody.serializer(), text)
     if (error != null) return CallResult.Refused(error)
-    return read(serializer, text)?.let { CallResult.Answered(it) }
+    return decodeOrNull(serializer, text)?.let { CallResult.Success(it) }
         ?: CallResult.Refused(ErrorBody(code = ErrorCode.INTERNAL, message = "status ${status.value} with a body that cannot be read"))
 }
 
-private fun <T> read(
+private fun <T> decodeOrNull(
     serializer: KSerializer<T>,
     text: String,
 ): T? =
--- a/cli/src/main/kotlin/io/bluebellramp/cli/CallerCommands.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/CallerCommands.kt
@@ -12,7 +12,7 @@
 
 /** Sends a single request and prints its answer. */
 internal class RequestCommand : Command(name = "request", summary = "Send a single request and wait for its answer") {
-    override fun declare(parser: ArgParser): Action {
+    override fun declareArguments(parser: ArgParser): CommandAction {
         val service by parser.option(ArgType.String, fullName = "service", description = "Service").default("")
         val team by parser.option(ArgType.String, fullName = "team", description = "Team")
         val payload by parser.option(ArgType.String, fullName = "payload", description = "Payload").default("")
@@ -20,7 +20,7 @@
             .option(ArgType.Boolean, fullName = "idempotent", description = "The request may run twice without harm")
             .default(false)
         val submission by parser.option(ArgType.String, fullName = "submission", description = "Submission id (UUIDv7); default a new one")
-        return Action { session ->
+        return CommandAction { session ->
             val request =
                 RequestSubmission(
                     submission = SubmissionId(submission ?: SubmissionId.create(Instant.now()).value),
@@ -29,18 +29,20 @@
                     team = team?.let(::TeamId),
                     idempotent = idempotent,
                 )
-            session.entry.request(request).report(session.output) { printAnswer(session.output, it) }
+            session.entry.request(request).printFailureOr(session.output) { printAnswer(session.output, it) }
         }
     }
 }
 
-/** Cancels a submission. */
+/** Cancels a submission and prints its answer. */
 internal class CancelCommand : Command(name = "cancel", summary = "Cancel a submission and print its answer") {
-    override fun declare(parser: ArgParser): Action {
+    override fun declareArguments(parser: ArgParser): CommandAction {
         val submission by parser.argument(ArgType.String, fullName = "submission", description = "Submission id")
-        return Action { session ->
-            val id = SubmissionId.parse(submission) ?: return@Action usageError("$PROGRAM: \"$submission\" is not a submission id (UUIDv7)")
-            session.entry.cancel(id).report(session.output) {
+        return CommandAction { session ->
+            val id =
+                SubmissionId.parse(submission)
+                    ?: return@CommandAction usageError("$PROGRAM: \"$submission\" is not a submission id (UUIDv7)")
+            session.entry.cancel(id).printFailureOr(session.output) {
                 printAnswer(session.output, it)
                 ExitCode.OK
             }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/ConfigCommands.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/ConfigCommands.kt
@@ -19,9 +19,10 @@
 
 /** Prints the accepted configuration. */
 internal class ConfigShowCommand : Command(name = "config show", summary = "Print the accepted configuration") {
-    override fun declare(parser: ArgParser) = printing(ConfigurationView.serializer(), { it.control.configuration() }) { it.text() }
+    override fun declareArguments(parser: ArgParser) =
+        printAction(ConfigurationView.serializer(), { it.control.configuration() }) { it.toText() }
 
-    private fun ConfigurationView.text(): String {
+    private fun ConfigurationView.toText(): String {
         val parts = mutableListOf("revision $revision", "base ${prettyJson.encodeToString(JsonObject.serializer(), base)}")
         overlays.forEach { (site, patch) -> parts += "overlay $site ${prettyJson.encodeToString(JsonObject.serializer(), patch)}" }
         parts += "zones out: ${zonesOut.joinToString().ifEmpty { "none" }}"
@@ -30,36 +31,36 @@
     }
 }
 
-/** Prints how files differ from the accepted configuration. */
+/** Prints how the given files differ from the accepted configuration. */
 internal class ConfigDiffCommand : Command(name = "config diff", summary = "Compare files with the accepted configuration") {
-    override fun declare(parser: ArgParser): Action {
-        val files = ConfigurationFiles(parser)
-        return Action { session ->
-            val read = files.read() ?: return@Action ExitCode.USAGE
-            session.control.configuration().report(session.output) { view ->
-                session.output.print(read.differencesFrom(view), ConfigurationDifferences.serializer()) { it.text() }
+    override fun declareArguments(parser: ArgParser): CommandAction {
+        val files = ConfigurationFileOptions(parser)
+        return CommandAction { session ->
+            val input = files.read() ?: return@CommandAction ExitCode.USAGE
+            session.control.configuration().printFailureOr(session.output) { view ->
+                session.output.print(input.differencesFrom(view), ConfigurationDifferences.serializer()) { it.toText() }
                 ExitCode.OK
             }
         }
     }
 
-    private fun ReadFiles.differencesFrom(view: ConfigurationView): ConfigurationDifferences {
-        val ofBase = base?.let { jsonDifferences(view.base, it, "$") }.orEmpty()
-        val ofOverlays =
+    private fun ConfigurationDocuments.differencesFrom(view: ConfigurationView): ConfigurationDifferences {
+        val baseDifferences = base?.let { jsonDifferences(view.base, it, "$") }.orEmpty()
+        val overlayDifferences =
             overlays.flatMap { (site, patch) ->
                 jsonDifferences(view.overlays[site] ?: JsonObject(emptyMap()), patch, "overlay $site: $")
             }
-        return ConfigurationDifferences(revision = view.revision, differences = ofBase + ofOverlays)
+        return ConfigurationDifferences(revision = view.revision, differences = baseDifferences + overlayDifferences)
     }
 
-    private fun ConfigurationDifferences.text() = differences.joinToString("\n").ifEmpty { "no differences from revision $revision" }
+    private fun ConfigurationDifferences.toText() = differences.joinToString("\n").ifEmpty { "no differences from revision $revision" }
 }
 
 /**
- * How files differ from the accepted configuration.
+ * The differences between files and the accepted configuration.
  *
- * @property revision the revision that they were compared with
- * @property differences one line for each difference: `+`, `-` or `~`, its JSON path and the values
+ * @property revision the revision that the files were compared with
+ * @property differences one line per difference: `+` added, `-` removed or `~` changed, the JSON path and the values
  */
 @Serializable
 internal class ConfigurationDifferences(
@@ -67,46 +68,46 @@
     val differences: List<String>,
 )
 
-/** Makes files the accepted configuration. */
+/** Submits a change that replaces the base configuration, site overlays or both with the given files. */
 internal class ConfigApplyCommand : Command(name = "config apply", summary = "Change the base file and site overlays") {
-    override fun declare(parser: ArgParser): Action {
-        val files = ConfigurationFiles(parser)
+    override fun declareArguments(parser: ArgParser): CommandAction {
+        val files = ConfigurationFileOptions(parser)
         val options = ChangeOptions(parser)
-        return Action { session ->
-            val read = files.read() ?: return@Action ExitCode.USAGE
-            if (read.base == null && read.overlays.isEmpty()) return@Action usageError("$PROGRAM: --base or --overlay is required")
-            applyChange(session, options) { it.copy(base = read.base, overlays = read.overlays) }
+        return CommandAction { session ->
+            val input = files.read() ?: return@CommandAction ExitCode.USAGE
+            if (input.base == null && input.overlays.isEmpty()) return@CommandAction usageError("$PROGRAM: --base or --overlay is required")
+            applyChange(session, options) { it.copy(base = input.base, overlays = input.overlays) }
         }
     }
 }
 
-/** The documents that an operator wants to compare or apply. */
-internal class ReadFiles(
+/** The contents of the configuration files to compare or apply; [base] is null if there is no base file. */
+internal class ConfigurationDocuments(
     val base: JsonObject?,
     val overlays: Map<String, JsonObject>,
 )
 
-/** The options that name a base file and overlays. */
-internal class ConfigurationFiles(
+/** The options that name the base file and the overlay files. */
+internal class ConfigurationFileOptions(
     parser: ArgParser,
 ) {
     private val base by parser.option(ArgType.String, fullName = "base", description = "Base file (JSON)")
     private val overlays by parser.option(ArgType.String, fullName = "overlay", description = "SITE=FILE, may be repeated").multiple()
 
-    /** Reads the files, or prints what is wrong and returns null. */
-    fun read(): ReadFiles? =
+    /** Reads the files, or prints the error and returns null. */
+    fun read(): ConfigurationDocuments? =
         try {
-            ReadFiles(base = base?.let(::document), overlays = overlays.associate(::overlay))
+            ConfigurationDocuments(base = base?.let(::readDocument), overlays = overlays.associate(::readOverlay))
         } catch (e: IllegalArgumentException) {
             usageError(e.message.orEmpty()).let { null }
         }
 
-    private fun overlay(option: String): Pair<String, JsonObject> {
+    private fun readOverlay(option: String): Pair<String, JsonObject> {
         require('=' in option) { "--overlay $option: SITE=FILE is expected" }
-        return option.substringBefore('=') to document(option.substringAfter('='))
+        return option.substringBefore('=') to readDocument(option.substringAfter('='))
     }
 
-    private fun document(file: String): JsonObject =
+    private fun readDocument(file: String): JsonObject =
         try {
             Json.decodeFromString(JsonObject.serializer(), Files.readString(Path.of(file)))
         } catch (e: IOException) {
@@ -116,7 +117,7 @@
         }
 }
 
-/** The options of every command that makes a change. */
+/** The options that all commands share which change the configuration. */
 internal class ChangeOptions(
     parser: ArgParser,
 ) {
@@ -125,7 +126,7 @@
         fullName = "based-on",
         description = "Revision the change is based on; default the current one",
     )
-    val change by parser.option(ArgType.String, fullName = "change", description = "Change id, for a resend after a lost answer")
+    val changeId by parser.option(ArgType.String, fullName = "change", description = "Change id, for a resend after a lost answer")
     val author by parser.option(ArgType.String, fullName = "author", description = "Who makes the change; default \$USER")
     val noWait by parser.option(ArgType.Boolean, fullName = "no-wait", description = "Do not wait until it is in force").default(false)
 }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/ControlClient.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/ControlClient.kt
@@ -26,9 +26,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Calls the control processes, whichever answers.
+ * Calls the control processes in turn until one answers.
  *
- * A change is resent under its change id after a lost answer, which applies it once.
+ * When an answer is lost, a change is sent again with the same change id, so that it is applied only once.
  */
 internal class ControlClient(
     private val http: HttpClient,
@@ -36,89 +36,95 @@
 ) {
     /** Reads the accepted configuration. */
     suspend fun configuration(): CallResult<ConfigurationView> =
-        call(ConfigurationView.serializer()) {
-            http.get("http://$it/v1/config") { answerWithin(CALL_TIME) }
+        callUntilAnswered(ConfigurationView.serializer()) {
+            http.get("http://$it/v1/config") { limitRequestTime(READ_TIMEOUT) }
         }
 
-    /** Reads the status as the leader sees it. */
+    /** Reads the status that the leader reports. */
     suspend fun status(): CallResult<StatusView> =
-        call(StatusView.serializer()) {
-            http.get("http://$it/v1/status") { answerWithin(CALL_TIME) }
+        callUntilAnswered(StatusView.serializer()) {
+            http.get("http://$it/v1/status") { limitRequestTime(READ_TIMEOUT) }
         }
 
-    /** Makes a change and waits until it is in force if [wait]. */
+    /** Submits a change. If [wait] is true, the answer comes once the change is in force. */
     suspend fun change(
         request: ChangeRequest,
         wait: Boolean,
     ): CallResult<ChangeResponse> =
-        call(ChangeResponse.serializer()) {
+        callUntilAnswered(ChangeResponse.serializer()) {
             http.post("http://$it/v1/changes?wait=$wait") {
-                answerWithin(CHANGE_TIME)
+                limitRequestTime(CHANGE_TIMEOUT)
                 contentType(ContentType.Application.Json)
                 setBody(WireJson.encodeToString(ChangeRequest.serializer(), request))
             }
         }
 
-    /** Changes the membership. It is not sent again once it may have arrived, since a repeat could be refused although the first took effect. */
+    /** Changes the membership. It is not retried once it may have arrived: a repeat could be refused although the first call took effect. */
     suspend fun changeMembership(request: MembershipRequest): CallResult<StatusView> =
-        call(StatusView.serializer(), resend = setOf(ErrorCode.NO_LEADER)) {
+        callUntilAnswered(StatusView.serializer(), retryOn = setOf(ErrorCode.NO_LEADER)) {
             http.post("http://$it/v1/members") {
-                answerWithin(MEMBERSHIP_TIME)
+                limitRequestTime(MEMBERSHIP_TIMEOUT)
                 contentType(ContentType.Application.Json)
                 setBody(WireJson.encodeToString(MembershipRequest.serializer(), request))
             }
         }
 
-    /** A process that is frozen accepts connections and never answers, so each call has a bound after which the next one is asked. */
-    private fun HttpRequestBuilder.answerWithin(time: Duration) = timeout { requestTimeoutMillis = time.inWholeMilliseconds }
+    /** Limits the time of a call. A frozen process accepts connections but never answers; after the limit the next process is called. */
+    private fun HttpRequestBuilder.limitRequestTime(limit: Duration) = timeout { requestTimeoutMillis = limit.inWholeMilliseconds }
 
-    private suspend fun <T> call(
+    /**
+     * Calls the control processes in turn, for up to [MAX_ROUNDS] rounds, until one gives a final result.
+     *
+     * @param retryOn null if the call may be repeated without harm: it is then retried after [retryableCodes] and whenever no answer came.
+     *   Otherwise the refusals after which it is retried; without an answer it is retried only if it cannot have arrived.
+     */
+    private suspend fun <T> callUntilAnswered(
         serializer: KSerializer<T>,
-        resend: Set<ErrorCode>? = null,
+        retryOn: Set<ErrorCode>? = null,
         send: suspend (Address) -> HttpResponse,
     ): CallResult<T> {
         if (controls.isEmpty()) return CallResult.Unreachable("no control process is named; use --control or --config")
-        var last: CallResult<T> = CallResult.Unreachable("no control process answered")
-        repeat(ROUNDS) {
+        var lastResult: CallResult<T> = CallResult.Unreachable("no control process answered")
+        repeat(MAX_ROUNDS) {
             for (control in controls) {
-                last = attempt(control, serializer, send)
-                if (!last.isWorthAnother(resend)) return last
+                lastResult = callControl(control, serializer, send)
+                if (!lastResult.isRetryable(retryOn)) return lastResult
             }
-            delay(PAUSE)
+            delay(ROUND_DELAY)
         }
-        return last
+        return lastResult
     }
 
-    private suspend fun <T> attempt(
+    private suspend fun <T> callControl(
         control: Address,
         serializer: KSerializer<T>,
         send: suspend (Address) -> HttpResponse,
     ): CallResult<T> =
         try {
-            send(control).decode(serializer)
+            send(control).toCallResult(serializer)
         } catch (e: IOException) {
             CallResult.Unreachable("$control: ${e.message ?: e.javaClass.simpleName}", mayHaveArrived = e !is ConnectException)
         }
 
-    private fun CallResult<*>.isWorthAnother(resend: Set<ErrorCode>?) =
+    private fun CallResult<*>.isRetryable(retryOn: Set<ErrorCode>?) =
         when (this) {
-            is CallResult.Answered -> false
-            is CallResult.Refused -> error.code in (resend ?: resendable)
-            is CallResult.Unreachable -> resend == null || !mayHaveArrived
+            is CallResult.Success -> false
+            is CallResult.Refused -> error.code in (retryOn ?: retryableCodes)
+            is CallResult.Unreachable -> retryOn == null || !mayHaveArrived
         }
 
     private companion object {
-        const val ROUNDS = 20
+        const val MAX_ROUNDS = 20
 
-        /** A change may be sent again under its change id after these. */
-        val resendable = setOf(ErrorCode.NO_LEADER, ErrorCode.OUTCOME_UNKNOWN)
-        val PAUSE = 250.milliseconds
-        val CALL_TIME = 2.seconds
+        /** After these refusals the call may be repeated, a change with the same change id. */
+        val retryableCodes = setOf(ErrorCode.NO_LEADER, ErrorCode.OUTCOME_UNKNOWN)
+        val ROUND_DELAY = 250.milliseconds
+        val READ_TIMEOUT = 2.seconds
 
-        /** A little over the longest wait until a change is in force and is forwarded. */
-        val CHANGE_TIME = 6.seconds
+        /** Slightly longer than a control process waits for a change to come into force, plus the forwarding to the leader. */
+        val CHANGE_TIMEOUT = 6.seconds
 
-        /** A little over the longest time that a learner may take to catch up. */
-        val MEMBERSHIP_TIME = 70.seconds
+        /** Slightly longer than a learner may take to catch up with the log. */
+        val MEMBERSHIP_TIMEOUT = 70.seconds
     }
 }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/EntryClient.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/EntryClient.kt
@@ -26,9 +26,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Calls the entries, whichever answers.
+ * Calls the entries in turn until one answers.
  *
- * After a lost answer the same submission goes to the next entry under the same id, which joins the first and starts nothing twice.
+ * When an answer is lost, the submission is sent to the next entry with the same id. That entry then attaches to the first submission, so
+ * that no task starts twice.
  */
 internal class EntryClient(
     private val http: HttpClient,
@@ -40,15 +41,15 @@
     /** Sends a single request and waits for its answer. */
     suspend fun request(request: RequestSubmission): CallResult<Answer> = submit("/v1/requests", RequestSubmission.serializer(), request)
 
-    /** Cancels a submission and returns its answer. An entry that does not know the id is passed over for the next. */
+    /** Cancels a submission and returns its answer. If an entry does not know the id, the next entry is asked. */
     suspend fun cancel(submission: SubmissionId): CallResult<Answer> =
-        firstAnswer(passedOver = setOf(ErrorCode.NOT_FOUND)) { http.post("http://$it/v1/jobs/$submission/cancel") }
+        callUntilAnswered(askNextOn = setOf(ErrorCode.NOT_FOUND)) { http.post("http://$it/v1/jobs/$submission/cancel") }
 
-    /** Asks how many tasks of a submission are done. Returns null if no entry says. */
+    /** Returns how many tasks of a submission are done, or null if no entry reports it. */
     suspend fun progress(submission: SubmissionId): PendingBody? =
-        entries.firstNotNullOfOrNull { entry -> pending(entry, submission)?.takeIf { it.tasksDone != null } }
+        entries.firstNotNullOfOrNull { entry -> progressFrom(entry, submission)?.takeIf { it.tasksDone != null } }
 
-    private suspend fun pending(
+    private suspend fun progressFrom(
         entry: Address,
         submission: SubmissionId,
     ): PendingBody? =
@@ -56,7 +57,7 @@
             val response =
                 http.get(
                     "http://$entry/v1/jobs/$submission?wait=0",
-                ) { timeout { requestTimeoutMillis = PROGRESS_TIME.inWholeMilliseconds } }
+                ) { timeout { requestTimeoutMillis = PROGRESS_TIMEOUT.inWholeMilliseconds } }
             if (response.status == HttpStatusCode.Accepted) {
                 WireJson.decodeFromString(PendingBody.serializer(), response.bodyAsText())
             } else {
@@ -73,58 +74,62 @@
         serializer: KSerializer<T>,
         body: T,
     ): CallResult<Answer> =
-        firstAnswer {
+        callUntilAnswered {
             http.post("http://$it$path") {
                 contentType(ContentType.Application.Json)
                 setBody(WireJson.encodeToString(serializer, body))
             }
         }
 
-    /** @param passedOver refusals for which the other entries are asked too, but only once if all of them say so */
-    private suspend fun firstAnswer(
-        passedOver: Set<ErrorCode> = emptySet(),
+    /**
+     * Calls the entries in turn, for up to [MAX_ROUNDS] rounds, until one gives a final result.
+     *
+     * @param askNextOn refusals after which the next entry is asked; if all entries refuse in this way, there is no further round
+     */
+    private suspend fun callUntilAnswered(
+        askNextOn: Set<ErrorCode> = emptySet(),
         send: suspend (Address) -> HttpResponse,
     ): CallResult<Answer> {
         if (entries.isEmpty()) return CallResult.Unreachable("no entry is named; use --entry or --config")
-        var last: CallResult<Answer> = CallResult.Unreachable("no entry answered")
-        repeat(ROUNDS) {
-            val round = ArrayList<CallResult<Answer>>()
+        var lastFailure: CallResult<Answer> = CallResult.Unreachable("no entry answered")
+        repeat(MAX_ROUNDS) {
+            val roundResults = ArrayList<CallResult<Answer>>()
             for (entry in entries) {
-                val result = attempt(entry, send)
-                if (!result.isWorthAnother() && !result.isRefusedWith(passedOver)) return result
-                round += result
+                val result = callEntry(entry, send)
+                if (!result.isRetryable() && !result.isRefusedWith(askNextOn)) return result
+                roundResults += result
             }
-            last = round.firstOrNull { !it.isRefusedWith(passedOver) } ?: return round.last()
-            delay(PAUSE)
+            lastFailure = roundResults.firstOrNull { !it.isRefusedWith(askNextOn) } ?: return roundResults.last()
+            delay(ROUND_DELAY)
         }
-        return last
+        return lastFailure
     }
 
-    private suspend fun attempt(
+    private suspend fun callEntry(
         entry: Address,
         send: suspend (Address) -> HttpResponse,
     ): CallResult<Answer> =
         try {
-            send(entry).decode(Answer.serializer())
+            send(entry).toCallResult(Answer.serializer())
         } catch (e: IOException) {
             CallResult.Unreachable("$entry: ${e.message ?: e.javaClass.simpleName}")
         }
 
-    private fun CallResult<Answer>.isWorthAnother() = this is CallResult.Unreachable || isRefusedWith(resendable)
+    private fun CallResult<Answer>.isRetryable() = this is CallResult.Unreachable || isRefusedWith(retryableCodes)
 
     private fun CallResult<Answer>.isRefusedWith(codes: Set<ErrorCode>) = this is CallResult.Refused && error.code in codes
 
     private companion object {
-        /** The entry started nothing, and the same id may be sent to another one. */
-        val resendable =
+        /** After these refusals the entry has started nothing, and the same id may be sent to another entry. */
+        val retryableCodes =
             setOf(
                 ErrorCode.NOT_READY,
                 ErrorCode.LEAVING,
                 ErrorCode.CLAIMS_UNAVAILABLE,
                 ErrorCode.OWNER_UNREACHABLE,
             )
-        const val ROUNDS = 8
-        val PAUSE = 500.milliseconds
-        val PROGRESS_TIME = 1.seconds
+        const val MAX_ROUNDS = 8
+        val ROUND_DELAY = 500.milliseconds
+        val PROGRESS_TIMEOUT = 1.seconds
     }
 }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/ExplainCommand.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/ExplainCommand.kt
@@ -4,13 +4,13 @@
 import kotlinx.cli.ArgParser
 import kotlinx.cli.ArgType
 
-/** Orders the log lines of one job across processes and names the cause of its outcome. Reads the logs from standard input. */
+/** Reads the logs of all processes from standard input and prints the records of one job by time, and why it ended as it did. */
 internal class ExplainCommand :
     Command(name = "explain", summary = "Print what the logs on standard input say about a job, and why it ended so") {
-    override fun declare(parser: ArgParser): Action {
+    override fun declareArguments(parser: ArgParser): CommandAction {
         val job by parser.argument(ArgType.String, fullName = "job", description = "Id of the job")
-        return Action {
-            val explanation = Explanation.of(job, generateSequence(::readlnOrNull))
+        return CommandAction {
+            val explanation = Explanation.fromLogs(job, generateSequence(::readlnOrNull))
             explanation.lines.forEach(::println)
             println(explanation.cause)
             if (explanation.lines.isEmpty()) ExitCode.REFUSED else ExitCode.OK
--- a/cli/src/main/kotlin/io/bluebellramp/cli/JsonDifferences.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/JsonDifferences.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.json.JsonElement
 import kotlinx.serialization.json.JsonObject
 
-/** Returns a line for each JSON path at which [new] differs from [old]: `+` added, `-` removed, `~` changed. */
+/** Returns one line per JSON path at which [new] differs from [old]: `+` added, `-` removed, `~` changed. Paths start with [path]. */
 internal fun jsonDifferences(
     old: JsonElement?,
     new: JsonElement?,
--- a/cli/src/main/kotlin/io/bluebellramp/cli/Main.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/Main.kt
@@ -14,7 +14,7 @@
         ConfigApplyCommand(),
         ZoneListCommand(),
         TargetListCommand(),
-        *serviceChangeCommands.toTypedArray(),
+        *availabilityCommands.toTypedArray(),
         MemberListCommand(),
         MemberAddCommand(),
         MemberRemoveCommand(),
@@ -26,17 +26,17 @@
         ExplainCommand(),
     )
 
-/** Runs the command that the first words of [args] name. */
+/** Runs the command that the first words of [args] select, and ends with its exit code. */
 fun main(args: Array<String>) {
     configureLogging(file = null)
-    val code =
+    val exitCode =
         when {
             args.isEmpty() || args[0] == "--help" || args[0] == "-h" -> printUsage()
             args[0] == "--version" -> printVersion()
             "--check" in args -> checkSettings(args.toList())
             else -> runCommand(args.toList())
         }
-    exitProcess(code)
+    exitProcess(exitCode)
 }
 
 private fun runCommand(args: List<String>): Int {
--- a/cli/src/main/kotlin/io/bluebellramp/cli/Output.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/Output.kt
@@ -7,39 +7,39 @@
 import kotlinx.serialization.json.Json
 
 /**
- * Prints what a command found, for people or as JSON.
+ * Prints the results and failures of commands, as text or as JSON.
  *
- * @property json true to print JSON
+ * @property json true to print JSON instead of text
  */
 internal class Output(
     val json: Boolean,
 ) {
-    private val pretty =
+    private val prettyJson =
         Json {
             prettyPrint = true
             explicitNulls = false
             encodeDefaults = true
         }
 
-    /** Prints [value] as JSON, or the lines of [text]. */
+    /** Prints [value] as JSON or, for people, as [toText] formats it. */
     fun <T> print(
         value: T,
         serializer: KSerializer<T>,
-        text: (T) -> String,
+        toText: (T) -> String,
     ) {
-        println(if (json) pretty.encodeToString(serializer, value) else text(value))
+        println(if (json) prettyJson.encodeToString(serializer, value) else toText(value))
     }
 
-    /** Prints why a call gave no value and returns the exit code. */
-    fun failure(result: CallResult.Failure): Int =
+    /** Prints why a call failed and returns the exit code. */
+    fun printFailure(result: CallResult.Failure): Int =
         when (result) {
-            is CallResult.Refused -> refused(result.error)
-            is CallResult.Unreachable -> unreachable(result)
+            is CallResult.Refused -> printRefusal(result.error)
+            is CallResult.Unreachable -> printUnreachable(result)
         }
 
-    private fun refused(error: ErrorBody): Int {
+    private fun printRefusal(error: ErrorBody): Int {
         if (json) {
-            println(pretty.encodeToString(ErrorBody.serializer(), error))
+            println(prettyJson.encodeToString(ErrorBody.serializer(), error))
         } else {
             System.err.println("refused: ${error.message}")
             error.violations.forEach { System.err.println("  ${it.wording()}") }
@@ -47,7 +47,7 @@
         return ExitCode.REFUSED
     }
 
-    private fun unreachable(result: CallResult.Unreachable): Int {
+    private fun printUnreachable(result: CallResult.Unreachable): Int {
         System.err.println("no answer: ${result.message}")
         return ExitCode.FAILED
     }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/ProgressBar.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/ProgressBar.kt
@@ -10,23 +10,24 @@
 import kotlin.time.DurationUnit
 import kotlin.time.TimeSource
 
-private val FIRST_LINE_AFTER = 1000.milliseconds
-private val INTERVAL = 200.milliseconds
-private const val WIDTH = 20
+private val INITIAL_DELAY = 1000.milliseconds
+private val REDRAW_INTERVAL = 200.milliseconds
+private const val BAR_WIDTH_CHARACTERS = 20
 
 /**
- * Runs [block] and shows on a terminal how far a submission is, once that takes more than a second.
+ * Runs [block] and, after [INITIAL_DELAY], shows the progress of a submission on the terminal until it returns.
  *
- * @param progress asks how many tasks are done; null if that is not known at the moment
+ * @param show false to show nothing; nothing is shown either if the process has no terminal
+ * @param fetchProgress returns how many tasks are done, or null if no entry reports it
  */
-internal suspend fun <T> progressBar(
+internal suspend fun <T> withProgressBar(
     submission: SubmissionId,
     show: Boolean,
-    progress: suspend () -> PendingBody?,
+    fetchProgress: suspend () -> PendingBody?,
     block: suspend () -> T,
 ): T =
     coroutineScope {
-        val bar = if (show && System.console() != null) launch { draw(submission, progress) } else null
+        val bar = if (show && System.console() != null) launch { drawProgressBar(submission, fetchProgress) } else null
         try {
             block()
         } finally {
@@ -37,32 +38,32 @@
         }
     }
 
-private suspend fun draw(
+private suspend fun drawProgressBar(
     submission: SubmissionId,
-    progress: suspend () -> PendingBody?,
+    fetchProgress: suspend () -> PendingBody?,
 ) {
     val start = TimeSource.Monotonic.markNow()
-    delay(FIRST_LINE_AFTER)
-    var step = 0
+    delay(INITIAL_DELAY)
+    var frame = 0
     while (true) {
-        System.err.print("\r\u001B[K${progressLine(progress(), step++, start.elapsedNow())}  $submission")
-        delay(INTERVAL)
+        System.err.print("\r\u001B[K${progressLine(fetchProgress(), frame++, start.elapsedNow())}  $submission")
+        delay(REDRAW_INTERVAL)
     }
 }
 
-/** The bar with the tasks done and the time, or with a mark that moves with [step] while nobody says how many are done. */
+/** Returns the bar with the finished tasks and the elapsed time. While their number is unknown, a marker moves along the bar with [frame]. */
 internal fun progressLine(
     pending: PendingBody?,
-    step: Int,
+    frame: Int,
     elapsed: Duration,
 ): String {
     val seconds = "%.1f s".format(elapsed.toDouble(DurationUnit.SECONDS))
     val tasks = pending?.tasks ?: 0
     val done = pending?.tasksDone
     if (done == null || tasks == 0) {
-        val place = step % WIDTH
-        return "[${".".repeat(place)}#${".".repeat(WIDTH - place - 1)}] $seconds"
+        val markerPosition = frame % BAR_WIDTH_CHARACTERS
+        return "[${".".repeat(markerPosition)}#${".".repeat(BAR_WIDTH_CHARACTERS - markerPosition - 1)}] $seconds"
     }
-    val filled = done * WIDTH / tasks
-    return "[${"#".repeat(filled)}${".".repeat(WIDTH - filled)}] $done of $tasks tasks done, $seconds"
+    val filled = done * BAR_WIDTH_CHARACTERS / tasks
+    return "[${"#".repeat(filled)}${".".repeat(BAR_WIDTH_CHARACTERS - filled)}] $done of $tasks tasks done, $seconds"
 }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/Session.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/Session.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.messages.CommandLineSettings
 import io.ktor.client.HttpClient
 
-/** The clients and the output that a command works with. */
+/** The clients of the control processes and entries, and the output, that a command uses. */
 internal class Session(
     private val http: HttpClient,
     settings: CommandLineSettings,
--- a/cli/src/main/kotlin/io/bluebellramp/cli/SessionResult.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/SessionResult.kt
@@ -4,14 +4,14 @@
 import io.bluebellramp.runtime.SharedKey
 import io.bluebellramp.runtime.httpLink
 
-/** What came of the settings and options of a command. */
+/** The session for the settings and options of a command, or the error in them. */
 internal sealed interface SessionResult {
-    /** The command can run in [session]. */
+    /** The settings are valid; the command runs in [session]. */
     class Open(
         val session: Session,
     ) : SessionResult
 
-    /** The settings or options are wrong, as [message] says. */
+    /** The settings or options are invalid for the reason in [message]. */
     data class Invalid(
         val message: String,
     ) : SessionResult
@@ -19,7 +19,7 @@
     companion object {
         private const val LOOPBACK = "127.0.0.1"
 
-        /** Opens a session, or tells what is wrong with the key file. */
+        /** Opens a session, or returns why the key file cannot be used. */
         fun open(
             settings: CommandLineSettings,
             json: Boolean,
--- a/cli/src/main/kotlin/io/bluebellramp/cli/StatusCommand.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/StatusCommand.kt
@@ -3,15 +3,15 @@
 import io.bluebellramp.messages.StatusView
 import kotlinx.cli.ArgParser
 
-/** Prints members, leader, the revision in force and who lags. */
+/** Prints the control members, the leader, the revision in force and the entries with permits of older revisions. */
 internal class StatusCommand : Command(name = "status", summary = "Print members, leader, revision in force and who lags") {
-    override fun declare(parser: ArgParser) = printing(StatusView.serializer(), { it.control.status() }) { it.text() }
+    override fun declareArguments(parser: ArgParser) = printAction(StatusView.serializer(), { it.control.status() }) { it.toText() }
 
-    private fun StatusView.text(): String =
+    private fun StatusView.toText(): String =
         buildString {
             appendLine("leader ${leader?.member ?: "none"}  term $term  commit index $commitIndex")
             appendLine("revision $revision  in force ${revisionInForce ?: "unknown"}")
-            appendLine(membersText())
+            appendLine(formatMembers())
             entries.forEach {
                 val lag = if (it.oldestPermit < revision) "  LAGS" else ""
                 appendLine(
--- a/cli/src/main/kotlin/io/bluebellramp/cli/SubmitCommand.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/SubmitCommand.kt
@@ -21,7 +21,7 @@
 
 /** Submits a job and prints its answer. */
 internal class SubmitCommand : Command(name = "submit", summary = "Submit a job from a file or of equal tasks and wait for its answer") {
-    override fun declare(parser: ArgParser): Action {
+    override fun declareArguments(parser: ArgParser): CommandAction {
         val file by parser.option(ArgType.String, fullName = "file", description = "Job (JSON); the other options then have no effect")
         val service by parser.option(ArgType.String, fullName = "service", description = "Service").default("")
         val team by parser.option(ArgType.String, fullName = "team", description = "Team")
@@ -31,24 +31,24 @@
             .default("")
         val submission by parser.option(ArgType.String, fullName = "submission", description = "Submission id (UUIDv7); default a new one")
         val deadline by parser.option(ArgType.Int, fullName = "deadline", description = "Deadline (ms)")
-        return Action { session ->
+        return CommandAction { session ->
             val id = SubmissionId(submission ?: SubmissionId.create(Instant.now()).value)
             val job =
                 when (val path = file) {
-                    null -> equalTasks(id, service, team, tasks, payload, deadline)
-                    else -> read(path) ?: return@Action ExitCode.USAGE
+                    null -> jobOfEqualTasks(id, service, team, tasks, payload, deadline)
+                    else -> readJob(path) ?: return@CommandAction ExitCode.USAGE
                 }
             val answer =
-                progressBar(
+                withProgressBar(
                     submission = job.submission,
                     show = !session.output.json,
-                    progress = { session.entry.progress(job.submission) },
+                    fetchProgress = { session.entry.progress(job.submission) },
                 ) { session.entry.submit(job) }
-            answer.report(session.output) { printAnswer(session.output, it) }
+            answer.printFailureOr(session.output) { printAnswer(session.output, it) }
         }
     }
 
-    private fun equalTasks(
+    private fun jobOfEqualTasks(
         id: SubmissionId,
         service: String,
         team: String?,
@@ -63,7 +63,7 @@
         deadlineMillis = deadline?.toLong(),
     )
 
-    private fun read(path: String): JobSubmission? =
+    private fun readJob(path: String): JobSubmission? =
         when (val result = jobReader.read(Path.of(path))) {
             is SettingsResult.Valid -> result.settings
             is SettingsResult.Invalid -> usageError(result.violations.joinToString("\n") { "$path: ${it.wording()}" }).let { null }
@@ -75,15 +75,15 @@
     output: Output,
     answer: Answer,
 ): Int {
-    output.print(answer, Answer.serializer()) { it.text() }
+    output.print(answer, Answer.serializer()) { it.toText() }
     return if (answer.outcome == AnswerOutcome.COMPLETE) ExitCode.OK else ExitCode.REFUSED
 }
 
-private fun Answer.text(): String =
+private fun Answer.toText(): String =
     when (outcome) {
         AnswerOutcome.COMPLETE -> "complete: ${results.orEmpty().size} results after %.1f ms ($submission)".format(elapsedMillis)
         AnswerOutcome.NOT_RUN -> "not run: ${error?.message.orEmpty()} ($submission)"
-        AnswerOutcome.FAILED -> "failed: ${error?.message.orEmpty()} ${startedText()} ($submission)"
+        AnswerOutcome.FAILED -> "failed: ${error?.message.orEmpty()} ${startedTasksText()} ($submission)"
     }
 
-private fun Answer.startedText() = startedTasks?.let { "$it tasks started." } ?: "How many tasks started is unknown."
+private fun Answer.startedTasksText() = startedTasks?.let { "$it tasks started." } ?: "How many tasks started is unknown."
--- a/cli/src/test/kotlin/io/bluebellramp/cli/EntryClientTest.kt
+++ b/cli/src/test/kotlin/io/bluebellramp/cli/EntryClientTest.kt
@@ -27,42 +27,42 @@
     private val job = JobSubmission(submission = id, service = ServiceId("s"), tasks = listOf(TaskSpecification(id = "a", payload = "p")))
 
     @Nested
-    inner class `An entry that dies after reading the submission` {
+    inner class `An entry that closes the connection after reading the submission` {
         @Test
-        fun `gets it once, and the next entry gets the same id`() {
-            val dying = FakeEntry(answer = null)
-            val living = FakeEntry(answer = """{"submission":"$id","outcome":"complete","results":[]}""")
-            listOf(dying, living).use {
-                val result = runBlocking { httpLink().use { EntryClient(it, listOf(dying.address, living.address)).submit(job) } }
-                assertEquals(AnswerOutcome.COMPLETE, assertIs<CallResult.Answered<Answer>>(result).value.outcome)
-                assertEquals(1, dying.bodies.size)
-                assertEquals(dying.bodies, living.bodies)
+        fun `receives it once, and the next entry receives it with the same id`() {
+            val disconnecting = FakeEntry(answer = null)
+            val healthy = FakeEntry(answer = """{"submission":"$id","outcome":"complete","results":[]}""")
+            listOf(disconnecting, healthy).useAll {
+                val result = runBlocking { httpLink().use { EntryClient(it, listOf(disconnecting.address, healthy.address)).submit(job) } }
+                assertEquals(AnswerOutcome.COMPLETE, assertIs<CallResult.Success<Answer>>(result).value.outcome)
+                assertEquals(1, disconnecting.bodies.size)
+                assertEquals(disconnecting.bodies, healthy.bodies)
             }
         }
     }
 
     @Nested
-    inner class `An entry that refuses early` {
+    inner class `An entry that answers not run with an error status` {
         @Test
-        fun `says not run, whatever the status`() {
+        fun `gives an answer, not a refusal`() {
             val entry = FakeEntry(answer = """{"submission":"$id","outcome":"not_run"}""", status = 429)
-            listOf(entry).use {
+            listOf(entry).useAll {
                 val result = runBlocking { httpLink().use { EntryClient(it, listOf(entry.address)).submit(job) } }
-                assertEquals(AnswerOutcome.NOT_RUN, assertIs<CallResult.Answered<Answer>>(result).value.outcome)
+                assertEquals(AnswerOutcome.NOT_RUN, assertIs<CallResult.Success<Answer>>(result).value.outcome)
             }
         }
     }
 
     @Nested
-    inner class `An entry that started nothing and owns nothing` {
+    inner class `An entry that refuses a submission without starting it` {
         @Test
-        fun `is passed over for the next one with the same id`() {
+        fun `is skipped, and the next entry receives the same id`() {
             for (code in listOf("leaving", "not_ready", "claims_unavailable", "owner_unreachable")) {
                 val first = FakeEntry(answer = """{"code":"$code","message":""}""", status = 503)
                 val second = FakeEntry(answer = """{"submission":"$id","outcome":"complete","results":[]}""")
-                listOf(first, second).use {
+                listOf(first, second).useAll {
                     val result = runBlocking { httpLink().use { EntryClient(it, listOf(first.address, second.address)).submit(job) } }
-                    assertEquals(AnswerOutcome.COMPLETE, assertIs<CallResult.Answered<Answer>>(result, code).value.outcome)
+                    assertEquals(AnswerOutcome.COMPLETE, assertIs<CallResult.Success<Answer>>(result, code).value.outcome)
                     assertEquals(first.bodies, second.bodies)
                 }
             }
@@ -70,23 +70,23 @@
     }
 
     @Nested
-    inner class `A cancel` {
-        private val unknown = """{"code":"not_found","message":"This entry does not know $id."}"""
+    inner class `A cancellation` {
+        private val unknownIdError = """{"code":"not_found","message":"This entry does not know $id."}"""
 
         @Test
-        fun `goes on to the entry that knows the id`() {
-            val first = FakeEntry(answer = unknown, status = 404)
+        fun `is sent to the next entry if the first does not know the id`() {
+            val first = FakeEntry(answer = unknownIdError, status = 404)
             val second = FakeEntry(answer = """{"submission":"$id","outcome":"not_run"}""")
-            listOf(first, second).use {
+            listOf(first, second).useAll {
                 val result = runBlocking { httpLink().use { EntryClient(it, listOf(first.address, second.address)).cancel(id) } }
-                assertEquals(AnswerOutcome.NOT_RUN, assertIs<CallResult.Answered<Answer>>(result).value.outcome)
+                assertEquals(AnswerOutcome.NOT_RUN, assertIs<CallResult.Success<Answer>>(result).value.outcome)
             }
         }
 
         @Test
-        fun `asks each entry once when none knows the id`() {
-            val entries = List(2) { FakeEntry(answer = unknown, status = 404) }
-            entries.use {
+        fun `is sent to each entry once if none knows the id`() {
+            val entries = List(2) { FakeEntry(answer = unknownIdError, status = 404) }
+            entries.useAll {
                 val result = runBlocking { httpLink().use { http -> EntryClient(http, entries.map { it.address }).cancel(id) } }
                 assertEquals(ErrorCode.NOT_FOUND, assertIs<CallResult.Refused>(result).error.code)
                 assertEquals(listOf(1, 1), entries.map { it.bodies.size })
@@ -97,24 +97,24 @@
     @Nested
     inner class `Progress` {
         @Test
-        fun `is that of the entry that says it`() {
-            val silent = FakeEntry(answer = """{"submission":"$id"}""", status = 202)
+        fun `comes from the entry that reports the number of finished tasks`() {
+            val withoutCounts = FakeEntry(answer = """{"submission":"$id"}""", status = 202)
             val owner = FakeEntry(answer = """{"submission":"$id","tasks":5,"tasksDone":2}""", status = 202)
-            listOf(silent, owner).use {
-                val pending = runBlocking { httpLink().use { EntryClient(it, listOf(silent.address, owner.address)).progress(id) } }
+            listOf(withoutCounts, owner).useAll {
+                val pending = runBlocking { httpLink().use { EntryClient(it, listOf(withoutCounts.address, owner.address)).progress(id) } }
                 assertEquals(5 to 2, pending?.tasks to pending?.tasksDone)
             }
         }
     }
 
-    private fun List<Closeable>.use(block: () -> Unit) =
+    private fun List<Closeable>.useAll(block: () -> Unit) =
         try {
             block()
         } finally {
             forEach { it.close() }
         }
 
-    /** Reads each request whole, then answers it, or closes the connection without an answer. */
+    /** Reads each request in full, then sends [answer], or closes the connection without one if it is null. */
     private class FakeEntry(
         private val answer: String?,
         private val status: Int = 200,
--- a/cli/src/test/kotlin/io/bluebellramp/cli/JsonDifferencesTest.kt
+++ b/cli/src/test/kotlin/io/bluebellramp/cli/JsonDifferencesTest.kt
@@ -13,7 +13,7 @@
     )
 
     @Nested
-    inner class `An operator compares a base file` {
+    inner class `Two versions of a base file` {
         private val cases =
             listOf(
                 Case("""{"a": 1}""", """{"a": 1}""", emptyList()),
@@ -24,7 +24,7 @@
             )
 
         @Test
-        fun `each difference has its path`() {
+        fun `differ in one line per JSON path`() {
             for (case in cases) {
                 assertEquals(case.lines, jsonDifferences(Json.parseToJsonElement(case.old), Json.parseToJsonElement(case.new), "$"))
             }
--- a/cli/src/test/kotlin/io/bluebellramp/cli/ProgressBarTest.kt
+++ b/cli/src/test/kotlin/io/bluebellramp/cli/ProgressBarTest.kt
@@ -14,21 +14,24 @@
     private fun line(
         tasks: Int?,
         done: Int?,
-    ) = progressLine(PendingBody(submission = id, tasks = tasks, tasksDone = done), step = 1, elapsed = 1_500.milliseconds)
+    ) = progressLine(PendingBody(submission = id, tasks = tasks, tasksDone = done), frame = 1, elapsed = 1_500.milliseconds)
 
     @Nested
     inner class `A progress line` {
         @Test
-        fun `shows the tasks that are done`() {
+        fun `shows the number of finished tasks`() {
             assertEquals("[....................] 0 of 400 tasks done, 1.5 s", line(400, 0))
             assertEquals("[######..............] 130 of 400 tasks done, 1.5 s", line(400, 130))
             assertEquals("[####################] 400 of 400 tasks done, 1.5 s", line(400, 400))
         }
 
         @Test
-        fun `shows the time alone while nobody says how many are done`() {
-            val waiting = "[.#..................] 1.5 s"
-            assertEquals(listOf(waiting, waiting), listOf(line(400, null), progressLine(null, step = 21, elapsed = 1_500.milliseconds)))
+        fun `shows only the time while the number of finished tasks is unknown`() {
+            val withoutCounts = "[.#..................] 1.5 s"
+            assertEquals(
+                listOf(withoutCounts, withoutCounts),
+                listOf(line(400, null), progressLine(null, frame = 21, elapsed = 1_500.milliseconds)),
+            )
         }
     }
 }
