--- a/samples/src/main/kotlin/io/bluebellramp/samples/Main.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/Main.kt
@@ -4,12 +4,12 @@
 import io.bluebellramp.runtime.SettingsReader
 import io.bluebellramp.runtime.runServer
 
-private const val NAME = "bluebellramp-target"
+private const val PROGRAM_NAME = "bluebellramp-target"
 
 /** Runs the sample target. */
 fun main(args: Array<String>) =
     runServer(
-        name = NAME,
+        name = PROGRAM_NAME,
         args = args,
         reader = SettingsReader(type = "SampleTargetSettings", serializer = SampleTargetSettings.serializer()),
         logFolder = { it.logFolder },
--- a/samples/src/main/kotlin/io/bluebellramp/samples/PayloadCommand.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/PayloadCommand.kt
@@ -3,9 +3,9 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** One step that a payload asks of the sample target. */
+/** A command to the sample target. A payload holds one or more of them. */
 internal sealed interface PayloadCommand {
-    /** Waits for [time] before the next step. */
+    /** Waits for [time] before the next command. */
     data class Sleep(
         val time: Duration,
     ) : PayloadCommand
@@ -21,27 +21,27 @@
     ) : PayloadCommand
 
     /** Closes the connection without an answer. */
-    data object Cut : PayloadCommand
+    data object CloseConnection : PayloadCommand
 
-    /** Answers with the ids of another task. */
-    data object Crossed : PayloadCommand
+    /** Answers with the number of another task, to test how the agent treats a mismatched answer. */
+    data object MismatchedAnswer : PayloadCommand
 
     companion object {
-        private const val SEPARATOR = ';'
-        private const val ARGUMENT = ':'
+        private const val COMMAND_SEPARATOR = ';'
+        private const val ARGUMENT_SEPARATOR = ':'
 
-        /** Reads the steps of [payload], which `;` separates. Text that names no step is echoed. */
-        fun parse(payload: String): List<PayloadCommand> = payload.split(SEPARATOR).map(::step)
+        /** Parses the commands of [payload], separated by `;`. Text that is not a command is echoed. */
+        fun parse(payload: String): List<PayloadCommand> = payload.split(COMMAND_SEPARATOR).map(::parseCommand)
 
-        private fun step(text: String): PayloadCommand {
-            val argument = text.substringAfter(ARGUMENT, missingDelimiterValue = "")
+        private fun parseCommand(text: String): PayloadCommand {
+            val argument = text.substringAfter(ARGUMENT_SEPARATOR, missingDelimiterValue = "")
             val millis = argument.toLongOrNull()?.takeIf { it >= 0 }
-            return when (text.substringBefore(ARGUMENT)) {
+            return when (text.substringBefore(ARGUMENT_SEPARATOR)) {
                 "sleep" -> if (millis == null) Echo(text) else Sleep(millis.milliseconds)
                 "fail" -> if (millis == null && argument.isNotEmpty()) Echo(text) else Fail((millis ?: 0).milliseconds)
                 "echo" -> Echo(argument)
-                "cut" -> Cut
-                "crossed" -> Crossed
+                "cut" -> CloseConnection
+                "crossed" -> MismatchedAnswer
                 else -> Echo(text)
             }
         }
--- a/samples/src/main/kotlin/io/bluebellramp/samples/Relay.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/Relay.kt
@@ -11,25 +11,25 @@
 import kotlin.concurrent.thread
 
 /**
- * Stands in for processes at their advertised addresses and forwards both ways.
+ * A TCP relay that listens at the advertised addresses of processes and forwards data in both directions.
  *
- * While the caller's or the upstream's IP number is in [partition], new connections are accepted and lead nowhere, and all bytes and closes
- * of open ones are held. They are delivered once the partition has healed, as TCP does after a silent loss.
+ * While [partition] isolates the IP address of the caller or of the upstream, new connections are accepted but not forwarded, and the data
+ * and closes of open connections are held back. They are delivered once the partition has healed, as TCP does after a silent packet loss.
  */
 internal class Relay(
     private val routes: List<RelayRoute>,
-    private val partition: Partition,
+    private val partition: NetworkPartition,
 ) : RunningProgram {
     private val servers = mutableListOf<ServerSocket>()
     private val sockets: MutableSet<Socket> = ConcurrentHashMap.newKeySet()
 
-    /** Starts to listen at every route. */
+    /** Starts to listen at the address of every route. */
     fun start() {
-        partition.follow()
+        partition.startWatching()
         for (route in routes) {
-            val server = ServerSocket(route.listen.port, BACKLOG, InetAddress.getByName(route.listen.host))
+            val server = ServerSocket(route.listen.port, BACKLOG_CONNECTIONS, InetAddress.getByName(route.listen.host))
             servers += server
-            daemon { while (true) server.accept().let { caller -> daemon { serve(caller, route) } } }
+            startDaemon { while (true) server.accept().let { caller -> startDaemon { serve(caller, route) } } }
         }
     }
 
@@ -41,45 +41,45 @@
     private fun serve(
         caller: Socket,
         route: RelayRoute,
-    ) = closing(caller) {
+    ) = closeAfter(caller) {
         val source = caller.inetAddress.hostAddress
         val host = route.upstream.host
-        partition.awaitOpen(source, host)
+        partition.awaitReachable(source, host)
         val upstream = Socket()
-        closing(upstream) {
-            upstream.connect(InetSocketAddress(host, route.upstream.port), CONNECT_MILLIS)
+        closeAfter(upstream) {
+            upstream.connect(InetSocketAddress(host, route.upstream.port), CONNECT_TIMEOUT_MILLIS)
             upstream.tcpNoDelay = true
             caller.tcpNoDelay = true
-            val back = daemon { pump(upstream, caller) { partition.awaitOpen(host, source) } }
-            pump(caller, upstream) { partition.awaitOpen(source, host) }
-            back.join()
+            val responseThread = startDaemon { forward(upstream, caller) { partition.awaitReachable(host, source) } }
+            forward(caller, upstream) { partition.awaitReachable(source, host) }
+            responseThread.join()
         }
     }
 
-    /** Copies what [from] sends, and its end, to [to]. Each part waits until the way is open. */
-    private fun pump(
+    /** Copies the data from [from] to [to] until its end, which is passed on too. Each part first waits for [awaitReachable]. */
+    private fun forward(
         from: Socket,
         to: Socket,
-        awaitOpen: () -> Unit,
+        awaitReachable: () -> Unit,
     ) {
         val buffer = ByteArray(BUFFER_BYTES)
         try {
             while (true) {
                 val count = from.getInputStream().read(buffer)
-                awaitOpen()
+                awaitReachable()
                 if (count < 0) break
                 to.getOutputStream().write(buffer, 0, count)
             }
             to.shutdownOutput()
         } catch (_: IOException) {
-            // A reset on one side ends both, but no sooner than the way is open.
-            awaitOpen()
+            // A reset on one side closes both, but not before the hosts can reach each other.
+            awaitReachable()
             from.close()
             to.close()
         }
     }
 
-    private fun closing(
+    private fun closeAfter(
         socket: Socket,
         use: () -> Unit,
     ) {
@@ -91,19 +91,19 @@
         }
     }
 
-    /** Runs [action] in a thread of its own. A failed connection ends it. */
-    private fun daemon(action: () -> Unit): Thread =
+    /** Runs [action] in a daemon thread, which ends if the connection fails. */
+    private fun startDaemon(action: () -> Unit): Thread =
         thread(isDaemon = true) {
             try {
                 action()
             } catch (_: IOException) {
-                // The sockets are closed; the other side sees the end of the connection.
+                // The sockets are closed, so that the other side sees the end of the connection.
             }
         }
 
     private companion object {
-        const val BACKLOG = 100
-        const val CONNECT_MILLIS = 1000
+        const val BACKLOG_CONNECTIONS = 100
+        const val CONNECT_TIMEOUT_MILLIS = 1000
         const val BUFFER_BYTES = 16_384
     }
 }
--- a/samples/src/main/kotlin/io/bluebellramp/samples/RelayMain.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/RelayMain.kt
@@ -5,12 +5,12 @@
 import io.bluebellramp.runtime.runServer
 import java.nio.file.Path
 
-private const val NAME = "bluebellramp-relay"
+private const val PROGRAM_NAME = "bluebellramp-relay"
 
-/** Runs the relay for proofs with cut links. */
+/** Runs the TCP relay that simulates network partitions in tests. */
 fun main(args: Array<String>) =
     runServer(
-        name = NAME,
+        name = PROGRAM_NAME,
         args = args,
         reader = SettingsReader(type = "RelaySettings", serializer = RelaySettings.serializer()),
         logFolder = { it.logFolder },
@@ -19,5 +19,5 @@
                 .first()
                 .listen.port
         },
-        start = { settings -> Relay(settings.routes, Partition(Path.of(settings.cutFile))).also { it.start() } },
+        start = { settings -> Relay(settings.routes, NetworkPartition(Path.of(settings.cutFile))).also { it.start() } },
     )
--- a/samples/src/main/kotlin/io/bluebellramp/samples/SampleTarget.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/SampleTarget.kt
@@ -35,56 +35,56 @@
 private const val STOP_GRACE_MILLIS = 100L
 private const val STOP_TIMEOUT_MILLIS = 1000L
 
-/** How long an answer may take from the handler to the socket. */
-private val ANSWER_FLUSH = 50.milliseconds
+/** Time for the last answers to get from the handler to the socket before the server stops. */
+private val ANSWER_FLUSH_TIME = 50.milliseconds
 
 /**
- * A target that does what its payload says. Use it in tests and as an example of the target side of `POST /run`.
+ * A target that executes the commands in the payload of a call. It serves tests and is an example of a target's side of `POST /run`.
  *
- * It runs whatever it is given; the limits are the agent's.
+ * It accepts every call; the agent limits how many run at once.
  */
 internal class SampleTarget(
     private val settings: SampleTargetSettings,
     clock: Clock = SystemClock,
 ) : RunningProgram {
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
-    private val starts = settings.startsFile?.let { StartsFile(Path.of(it), clock) }
-    private val open = MutableStateFlow(0)
+    private val startsFile = settings.startsFile?.let { StartsFile(Path.of(it), clock) }
+    private val openCalls = MutableStateFlow(0)
     private val announcer =
         TargetAnnouncer(settings.agent, TargetAnnouncement(settings.target, settings.service, settings.listen))
     private val server =
         httpServer(settings.listen, AlwaysReady, PrometheusRegistry()) {
             post("/run") { run(call) }
         }
-    private lateinit var announcing: Job
+    private lateinit var announcementJob: Job
 
-    /** Listens and starts to announce the target. */
+    /** Starts the server and the announcements to the agent. */
     fun start() {
         server.start(wait = false)
-        announcing = scope.launch { announcer.announce() }
+        announcementJob = scope.launch { announcer.announce() }
     }
 
     override fun stop() {
         runBlocking {
-            announcing.cancelAndJoin()
-            announcer.leave()
-            open.first { it == 0 }
-            delay(ANSWER_FLUSH)
+            announcementJob.cancelAndJoin()
+            announcer.withdraw()
+            openCalls.first { it == 0 }
+            delay(ANSWER_FLUSH_TIME)
         }
         server.stop(STOP_GRACE_MILLIS, STOP_TIMEOUT_MILLIS)
         scope.cancel()
         announcer.close()
-        starts?.close()
+        startsFile?.close()
     }
 
     private suspend fun run(call: RoutingCall) {
-        open.update { it + 1 }
+        openCalls.update { it + 1 }
         try {
             val request = call.receive<TargetCall>()
-            starts?.append(request)
+            startsFile?.append(request)
             answer(call, request, PayloadCommand.parse(request.payload))
         } finally {
-            open.update { it - 1 }
+            openCalls.update { it - 1 }
         }
     }
 
@@ -94,17 +94,17 @@
         commands: List<PayloadCommand>,
     ) {
         val result = StringBuilder()
-        var task = request.task
+        var answeredTask = request.task
         for (command in commands) {
             when (command) {
                 is PayloadCommand.Sleep -> delay(command.time)
                 is PayloadCommand.Echo -> result.append(command.text)
-                is PayloadCommand.Crossed -> task++
-                is PayloadCommand.Cut -> return call.cut()
+                is PayloadCommand.MismatchedAnswer -> answeredTask++
+                is PayloadCommand.CloseConnection -> return call.closeConnection()
                 is PayloadCommand.Fail -> return call.fail(command)
             }
         }
-        call.respond(TargetAnswer(request.submission, task, request.attempt, result.toString()))
+        call.respond(TargetAnswer(request.submission, answeredTask, request.attempt, result.toString()))
     }
 
     private suspend fun RoutingCall.fail(command: PayloadCommand.Fail) {
@@ -112,9 +112,9 @@
         respondText("The payload asked for a failure.", status = HttpStatusCode.InternalServerError)
     }
 
-    private fun RoutingCall.cut() {
-        val call = pipelineCall.engineCall as NettyApplicationCall
-        call.context.close()
+    private fun RoutingCall.closeConnection() {
+        val nettyCall = pipelineCall.engineCall as NettyApplicationCall
+        nettyCall.context.close()
     }
 
     private object AlwaysReady : Health {
--- a/samples/src/main/kotlin/io/bluebellramp/samples/StartsFile.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/StartsFile.kt
@@ -11,9 +11,9 @@
 import java.nio.file.StandardOpenOption.WRITE
 
 /**
- * Appends one line for each start: submission, task, attempt, kind and time (ms since the epoch).
+ * A file with one line per start of a task or request: submission, task, attempt, kind and time (ms since the epoch).
  *
- * Tests read it to count the starts of a task. Each line is handed to the operating system in one write.
+ * Tests count the starts of a task with it. Each line is passed to the operating system in one write.
  */
 internal class StartsFile(
     path: Path,
@@ -21,7 +21,7 @@
 ) : AutoCloseable {
     private val channel = FileChannel.open(path, CREATE, WRITE, APPEND)
 
-    /** Appends the line of [call]. It can be read once this returns. */
+    /** Appends the line of [call]. Other processes can read it once this returns. */
     fun append(call: TargetCall) {
         val kind = if (call.kind == DispatchKind.TASK) "task" else "request"
         val line = "${call.submission} ${call.task} ${call.attempt} $kind ${clock.wall().toEpochMilli()}\n"
--- a/samples/src/main/kotlin/io/bluebellramp/samples/TargetAnnouncer.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/TargetAnnouncer.kt
@@ -15,19 +15,19 @@
 
 private val ANNOUNCEMENT_PERIOD = 500.milliseconds
 
-/** Tells the agent at [agent] that a target is there. */
+/** Announces a target to the agent at [agent]. */
 internal class TargetAnnouncer(
     private val agent: Address,
     private val announcement: TargetAnnouncement,
 ) : AutoCloseable {
-    private val link = httpLink(timeout = 1.seconds)
+    private val httpClient = httpLink(timeout = 1.seconds)
     private val url = "http://$agent/v1/target"
 
-    /** Announces the target again and again until it is cancelled. An agent that is not there is tried again. */
+    /** Announces the target every [ANNOUNCEMENT_PERIOD] until cancelled, also while the agent cannot be reached. */
     suspend fun announce() {
         while (true) {
-            attempt {
-                link.post(url) {
+            ignoringIoErrors {
+                httpClient.post(url) {
                     contentType(ContentType.Application.Json)
                     setBody(announcement)
                 }
@@ -36,12 +36,12 @@
         }
     }
 
-    /** Tells the agent that the target leaves. */
-    suspend fun leave() = attempt { link.delete(url) }
+    /** Withdraws the announcement, so that the agent sends no more calls to the target. */
+    suspend fun withdraw() = ignoringIoErrors { httpClient.delete(url) }
 
-    override fun close() = link.close()
+    override fun close() = httpClient.close()
 
-    private suspend fun attempt(call: suspend () -> Unit) {
+    private suspend fun ignoringIoErrors(call: suspend () -> Unit) {
         try {
             call()
         } catch (_: IOException) {
--- a/samples/src/test/kotlin/io/bluebellramp/samples/RelayTest.kt
+++ b/samples/src/test/kotlin/io/bluebellramp/samples/RelayTest.kt
@@ -21,29 +21,29 @@
     @TempDir
     lateinit var folder: Path
 
-    private val echo = ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))
+    private val echoServer = ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))
     private val cutFile get() = folder.resolve("cut")
     private val relayPort = ServerSocket(0).use { it.localPort }
 
-    private val partition by lazy { Partition(cutFile) }
+    private val partition by lazy { NetworkPartition(cutFile) }
 
     private fun withRelay(test: () -> Unit) {
         thread(isDaemon = true) {
             runCatching {
                 while (true) {
-                    val socket = echo.accept()
+                    val socket = echoServer.accept()
                     thread(isDaemon = true) { socket.use { it.getInputStream().copyTo(it.getOutputStream()) } }
                 }
             }
         }
-        val route = RelayRoute(listen = Address("127.0.0.1:$relayPort"), upstream = Address("127.0.0.1:${echo.localPort}"))
+        val route = RelayRoute(listen = Address("127.0.0.1:$relayPort"), upstream = Address("127.0.0.1:${echoServer.localPort}"))
         val relay = Relay(listOf(route), partition)
         relay.start()
         try {
             test()
         } finally {
             relay.stop()
-            echo.close()
+            echoServer.close()
         }
     }
 
@@ -51,52 +51,52 @@
         Socket().apply {
             bind(InetSocketAddress(host, 0))
             connect(InetSocketAddress("127.0.0.1", relayPort))
-            soTimeout = LONGEST_WAIT_MILLIS
+            soTimeout = RECEIVE_TIMEOUT_MILLIS
         }
 
     private fun Socket.send(byte: Int) = getOutputStream().write(byte)
 
     private fun Socket.receive() = getInputStream().read()
 
-    private fun Socket.assertSilent() {
-        soTimeout = SILENCE_MILLIS
+    private fun Socket.assertReceivesNothing() {
+        soTimeout = NO_DATA_MILLIS
         assertFailsWith<SocketTimeoutException> { receive() }
-        soTimeout = LONGEST_WAIT_MILLIS
+        soTimeout = RECEIVE_TIMEOUT_MILLIS
     }
 
-    private fun cut(vararg hosts: String) {
+    private fun isolate(vararg hosts: String) {
         val draft = Files.write(folder.resolve("draft"), hosts.toList())
         Files.move(draft, cutFile, StandardCopyOption.ATOMIC_MOVE)
-        while (partition.cutOff != hosts.toSet()) Thread.yield()
+        while (partition.isolatedHosts != hosts.toSet()) Thread.yield()
     }
 
     @Nested
-    inner class `A host that is cut off` {
+    inner class `An isolated host` {
         @Test
-        fun `gets and sends nothing until it heals, and then all of it, while others go on`() =
+        fun `neither receives nor sends until the partition heals, then everything is delivered, and other hosts are not affected`() =
             withRelay {
-                val cutOff = connectFrom("127.0.0.11")
+                val isolated = connectFrom("127.0.0.11")
                 val other = connectFrom("127.0.0.12")
-                cutOff.send(1)
-                assertEquals(1, cutOff.receive())
-                cut("127.0.0.11")
-                cutOff.send(2)
-                val late = connectFrom("127.0.0.11").also { it.send(3) }
-                cutOff.assertSilent()
-                late.assertSilent()
+                isolated.send(1)
+                assertEquals(1, isolated.receive())
+                isolate("127.0.0.11")
+                isolated.send(2)
+                val connectedLater = connectFrom("127.0.0.11").also { it.send(3) }
+                isolated.assertReceivesNothing()
+                connectedLater.assertReceivesNothing()
                 other.send(4)
                 assertEquals(4, other.receive())
-                cut()
-                assertEquals(2, cutOff.receive())
-                assertEquals(3, late.receive())
+                isolate()
+                assertEquals(2, isolated.receive())
+                assertEquals(3, connectedLater.receive())
             }
     }
 
     private companion object {
-        /** Longest wait for a byte that must come (ms). */
-        const val LONGEST_WAIT_MILLIS = 30_000
+        /** Time limit for a byte that must arrive. */
+        const val RECEIVE_TIMEOUT_MILLIS = 30_000
 
-        /** How long a cut connection must stay silent (ms). */
-        const val SILENCE_MILLIS = 500
+        /** Time in which an isolated connection must receive nothing. */
+        const val NO_DATA_MILLIS = 500
     }
 }
--- a/samples/src/test/kotlin/io/bluebellramp/samples/SampleTargetTest.kt
+++ b/samples/src/test/kotlin/io/bluebellramp/samples/SampleTargetTest.kt
@@ -42,38 +42,38 @@
 
 class SampleTargetTest {
     @Nested
-    inner class `a payload` {
+    inner class `A payload` {
         @Test
-        fun `is read step by step`() {
+        fun `is parsed into commands`() {
             val cases =
                 mapOf(
                     "sleep:120;echo:hello" to listOf(PayloadCommand.Sleep(120.milliseconds), PayloadCommand.Echo("hello")),
                     "fail" to listOf(PayloadCommand.Fail(0.milliseconds)),
                     "fail:120" to listOf(PayloadCommand.Fail(120.milliseconds)),
-                    "cut" to listOf(PayloadCommand.Cut),
-                    "crossed" to listOf(PayloadCommand.Crossed),
+                    "cut" to listOf(PayloadCommand.CloseConnection),
+                    "crossed" to listOf(PayloadCommand.MismatchedAnswer),
                     "sleep:x" to listOf(PayloadCommand.Echo("sleep:x")),
                     "anything" to listOf(PayloadCommand.Echo("anything")),
                 )
-            cases.forEach { (payload, steps) -> assertEquals(steps, PayloadCommand.parse(payload), payload) }
+            cases.forEach { (payload, commands) -> assertEquals(commands, PayloadCommand.parse(payload), payload) }
         }
     }
 
     @Nested
-    inner class `a running target` {
+    inner class `A running target` {
         @TempDir
         lateinit var folder: Path
-        private val announced = Channel<TargetAnnouncement?>(Channel.UNLIMITED)
+        private val announcements = Channel<TargetAnnouncement?>(Channel.UNLIMITED)
         private val agent = Address("127.0.0.1:${freePort()}")
         private val listen = Address("127.0.0.1:${freePort()}")
         private val fakeAgent =
-            httpServer(agent, Ready, PrometheusRegistry()) {
+            httpServer(agent, AlwaysReady, PrometheusRegistry()) {
                 post("/v1/target") {
-                    announced.send(call.receive())
+                    announcements.send(call.receive())
                     call.respond(HttpStatusCode.OK)
                 }
                 delete("/v1/target") {
-                    announced.send(null)
+                    announcements.send(null)
                     call.respond(HttpStatusCode.OK)
                 }
             }
@@ -96,7 +96,7 @@
         }
 
         @Test
-        fun `answers with the ids of the call and writes its start`() =
+        fun `answers with the ids of the call and records its start`() =
             runBlocking {
                 val call = call("sleep:1;echo:hello")
                 val answer = post(call).body<TargetAnswer>()
@@ -106,30 +106,30 @@
             }
 
         @Test
-        fun `fails with status 500`() =
+        fun `answers a fail command with status 500`() =
             runBlocking {
                 assertEquals(HttpStatusCode.InternalServerError, post(call("fail:1")).status)
             }
 
         @Test
-        fun `answers a crossed task`() =
+        fun `answers a crossed command with the number of another task`() =
             runBlocking {
                 assertEquals(4, post(call("crossed")).body<TargetAnswer>().task)
             }
 
         @Test
-        fun `closes the connection without an answer`() {
+        fun `closes the connection without an answer on a cut command`() {
             runBlocking {
                 assertFailsWith<IOException> { post(call("cut")) }
             }
         }
 
         @Test
-        fun `announces itself and leaves`() =
+        fun `announces itself and withdraws the announcement when it stops`() =
             runBlocking {
-                assertEquals(TargetAnnouncement(TargetId("t1"), ServiceId("render"), listen), announced.receive())
+                assertEquals(TargetAnnouncement(TargetId("t1"), ServiceId("render"), listen), announcements.receive())
                 stopTarget()
-                while (announced.receive() != null) continue
+                while (announcements.receive() != null) continue
             }
 
         private fun stopTarget() {
@@ -147,7 +147,7 @@
             }
     }
 
-    private object Ready : Health {
+    private object AlwaysReady : Health {
         override fun isReady() = true
     }
 
