--- a/transport/src/main/kotlin/io/bluebellramp/transport/ControlLinks.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/ControlLinks.kt
@@ -15,10 +15,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The links of an entry or agent to all control processes. Use it on the event loop only.
+ * Connects an entry or agent to all control processes. Confined to the event loop.
  *
- * It knows the newest shared state that any of them told, which never gets older in the life of the process. While none can be reached
- * the last one stays in force.
+ * Holds the newest shared state that any of them has sent; an older state never replaces it. While no control process is reachable, the
+ * last state stays in force.
  *
  * @param onState called with each newer state
  */
@@ -31,61 +31,61 @@
 ) {
     private var seeds = settings.seeds.map { LinkPorts.control(settings, it.host) }
     private val dialers = HashMap<Address, FrameDialer>()
-    private val namedAt = HashMap<Address, Duration>()
+    private val lastNamedAt = HashMap<Address, Duration>()
     private val directories = HashMap<Address, Directory>()
-    private var beatAt = Duration.ZERO
+    private var lastHeartbeatAt = Duration.ZERO
     private val helloText = WireJson.encodeToString(ControlFrame(hello = hello))
 
-    /** The newest state, or null before any was told. */
+    /** The newest state, or null before any was received. */
     var state: SharedState? = null
         private set
 
-    /** Control processes that can be reached. */
+    /** Number of control processes with an open link. */
     val reached: Int get() = dialers.values.count { it.link != null }
 
-    /** Entries that any reachable control process names. */
+    /** Entries listed in the directory of any reachable control process. */
     val entries: List<ProcessHello> get() = directories.values.flatMap { it.entries }
 
-    /** Starts to dial. */
+    /** Connects to the seeds and maintains the links from then on. */
     fun start() {
         seeds.forEach { dial(it) }
-        loop.every(TICK) { tick() }
+        loop.every(CHECK_PERIOD) { maintainLinks() }
     }
 
-    /** Looks for control at [next] too; processes that are known already stay known. */
+    /** Replaces the seeds by [next]. Control processes that were known before keep their links. */
     fun useSeeds(next: List<Address>) {
         seeds = next.map { LinkPorts.control(settings, it.host) }
     }
 
-    private fun tick() {
+    private fun maintainLinks() {
         val now = clock.monotonic()
-        val named = directories.values.flatMap { it.controls }.map { it.address }
-        (named + seeds).forEach { namedAt[it] = now }
-        (namedAt.keys - dialers.keys).forEach { dial(it) }
-        namedAt
-            .filterValues { now - it > FORGET_AFTER }
+        val namedAddresses = directories.values.flatMap { it.controls }.map { it.address }
+        (namedAddresses + seeds).forEach { lastNamedAt[it] = now }
+        (lastNamedAt.keys - dialers.keys).forEach { dial(it) }
+        lastNamedAt
+            .filterValues { now - it > REMOVE_UNNAMED_AFTER }
             .keys
             .toList()
-            .forEach { forget(it) }
+            .forEach { removeLink(it) }
         dialers.values.forEach { it.check(now) }
-        if (now - beatAt < BEAT_PERIOD) return
-        beatAt = now
+        if (now - lastHeartbeatAt < HEARTBEAT_PERIOD) return
+        lastHeartbeatAt = now
         dialers.values.forEach { it.link?.send(EMPTY_FRAME) }
     }
 
-    private fun forget(address: Address) {
-        namedAt.remove(address)
+    private fun removeLink(address: Address) {
+        lastNamedAt.remove(address)
         dialers.remove(address)?.stop()
         directories.remove(address)
     }
 
     private fun dial(address: Address) {
-        val dialer = FrameDialer(loop, clock, address, LINK_SILENCE, Listener(address))
+        val dialer = FrameDialer(loop, clock, address, LINK_SILENCE_TIMEOUT, ControlLinkListener(address))
         dialers[address] = dialer
         dialer.start()
     }
 
-    private fun take(next: SharedState) {
+    private fun applyState(next: SharedState) {
         val known = state
         if (known != null && next.index <= known.index) return
         state = next
@@ -94,7 +94,7 @@
         onState(next)
     }
 
-    private inner class Listener(
+    private inner class ControlLinkListener(
         private val address: Address,
     ) : LinkListener {
         override fun onOpen(link: FrameLink) {
@@ -109,7 +109,7 @@
             if (text == EMPTY_FRAME) return
             val frame = WireJson.decodeFromString<ControlFrame>(text)
             frame.directory?.let { directories[address] = it }
-            frame.state?.let { take(it) }
+            frame.state?.let { applyState(it) }
         }
 
         override fun onClosed(link: FrameLink) {
@@ -119,14 +119,14 @@
     }
 
     private companion object {
-        val TICK = 200.milliseconds
-        val BEAT_PERIOD = 400.milliseconds
+        val CHECK_PERIOD = 200.milliseconds
+        val HEARTBEAT_PERIOD = 400.milliseconds
 
-        /** A link without a frame for this long is taken for lost: four beats. */
-        val LINK_SILENCE = 1600.milliseconds
+        /** A link without a frame for this long is considered lost: four heartbeat periods. */
+        val LINK_SILENCE_TIMEOUT = 1600.milliseconds
 
-        /** A control process that nobody names any more is dialled for this long; longer than a loss of power of the core lasts. */
-        val FORGET_AFTER = 60.seconds
+        /** A control process that no directory lists any more is dialled for this long: longer than a power failure of the core lasts. */
+        val REMOVE_UNNAMED_AFTER = 60.seconds
         const val EMPTY_FRAME = "{}"
     }
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/EventLoop.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/EventLoop.kt
@@ -15,34 +15,34 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The one thread on which a process reads, decides and writes, so that its state needs no locks.
+ * The single thread that does all network I/O and processing of a process, so that its state needs no locks.
  *
- * Use it for programs whose VM has about one core. Tasks must not block.
+ * Suits programs whose VM has about one core. Tasks must not block.
  */
 class EventLoop : AutoCloseable {
     internal val group: EventLoopGroup = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val loop = group.next()
 
-    /** Runs [task] on the loop, soon. */
-    fun execute(task: () -> Unit) = loop.execute { guarded(task) }
+    /** Queues [task] to run on the loop. */
+    fun execute(task: () -> Unit) = loop.execute { runLogged(task) }
 
     /** Runs [task] on the loop after [delay]. */
     fun after(
         delay: Duration,
         task: () -> Unit,
     ) {
-        loop.schedule({ guarded(task) }, delay.inWholeMicroseconds, TimeUnit.MICROSECONDS)
+        loop.schedule({ runLogged(task) }, delay.inWholeMicroseconds, TimeUnit.MICROSECONDS)
     }
 
-    /** Runs [task] on the loop every [period], for as long as the loop lives. */
+    /** Runs [task] on the loop repeatedly, with a pause of [period] between runs, until the loop is closed. */
     fun every(
         period: Duration,
         task: () -> Unit,
     ) {
-        loop.scheduleWithFixedDelay({ guarded(task) }, period.inWholeMicroseconds, period.inWholeMicroseconds, TimeUnit.MICROSECONDS)
+        loop.scheduleWithFixedDelay({ runLogged(task) }, period.inWholeMicroseconds, period.inWholeMicroseconds, TimeUnit.MICROSECONDS)
     }
 
-    /** Listens at [host]:[port], again and again until the address can be used: a former process may hold it for a moment. */
+    /** Listens on [host]:[port]. Retries until the bind succeeds, since a previous process may still hold the address for a moment. */
     internal fun listen(
         host: String,
         port: Int,
@@ -52,45 +52,45 @@
             .group(group)
             .channel(NioServerSocketChannel::class.java)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG_CONNECTIONS)
             .childHandler(initializer)
             .bind(host, port)
             .addListener(
                 ChannelFutureListener {
                     if (it.isSuccess) return@ChannelFutureListener
-                    Logger.error("Cannot listen at $host:$port: ${it.cause()}")
-                    after(LISTEN_AGAIN) { listen(host, port, initializer) }
+                    Logger.error("Cannot listen on $host:$port; will try again: ${it.cause()}")
+                    after(BIND_RETRY_PERIOD) { listen(host, port, initializer) }
                 },
             )
     }
 
     override fun close() {
-        group.shutdownGracefully(QUIET_MILLIS, SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)
+        group.shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
     }
 
-    /** A repeated task that throws would never run again. */
-    private fun guarded(task: () -> Unit) =
+    /** Runs [task] and logs its exceptions, since the executor cancels a repeated task that throws. */
+    private fun runLogged(task: () -> Unit) =
         try {
             task()
         } catch (e: Exception) {
-            Logger.error(e, "A task of the event loop failed")
+            Logger.error(e, "Task on the event loop failed")
         }
 
     private companion object {
         init {
-            // Netty would look at every network interface and start the management beans for ids of channels that nobody reads.
+            // To build channel ids, which are unused here, Netty would inspect every network interface and start the management beans.
             if (System.getProperty("io.netty.machineId") == null) System.setProperty("io.netty.machineId", "00:00:00:00:00:00")
             if (System.getProperty("io.netty.processId") == null) System.setProperty("io.netty.processId", "1")
         }
 
-        /** Without a quiet time the loop may end in the round in which it is told to, and leave its sockets open (ms). */
-        const val QUIET_MILLIS = 1L
+        /** Without a quiet period the loop may end in the iteration in which shutdown is requested, and leave its sockets open. */
+        const val SHUTDOWN_QUIET_PERIOD_MILLIS = 1L
 
-        /** Longest time to end open tasks (ms). */
-        const val SHUTDOWN_MILLIS = 200L
+        /** Maximum time to finish open tasks. */
+        const val SHUTDOWN_TIMEOUT_MILLIS = 200L
 
-        /** Connections that may wait to be accepted; every process of a large deployment may dial at once. */
-        const val BACKLOG = 1024
-        val LISTEN_AGAIN = 200.milliseconds
+        /** Connections that may wait to be accepted. Every process of a large deployment may connect at once. */
+        const val ACCEPT_BACKLOG_CONNECTIONS = 1024
+        val BIND_RETRY_PERIOD = 200.milliseconds
     }
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/FrameDialer.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/FrameDialer.kt
@@ -10,9 +10,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Keeps a link to [address]: dials until the connection stands, and again whenever it is lost. Use it on the event loop only.
+ * Keeps a link to [address] open: connects, and reconnects whenever the link is lost. Confined to the event loop.
  *
- * A link without a frame for [silence] is closed, so each side has to send a frame more often than that.
+ * A link that receives no frame for [silence] is closed, so each side has to send frames more often than that.
  */
 class FrameDialer(
     private val loop: EventLoop,
@@ -22,22 +22,22 @@
     private val listener: LinkListener,
 ) {
     private var isStopped = false
-    private var failures = 0
+    private var failedAttempts = 0
 
-    /** The link, or null while there is none. */
+    /** The open link, or null while disconnected. */
     var link: FrameLink? = null
         private set
 
-    /** Starts to dial. */
+    /** Starts to connect. */
     fun start() = dial()
 
-    /** Closes the link if nothing was heard on it for too long. Call it several times in each [silence]. */
+    /** Closes the link if no frame was received for [silence]. Call it several times in each such interval. */
     fun check(now: Duration) {
-        val open = link ?: return
-        if (now - open.heardAt > silence) open.close()
+        val openLink = link ?: return
+        if (now - openLink.heardAt > silence) openLink.close()
     }
 
-    /** Closes the link and dials no more. */
+    /** Closes the link and does not reconnect. */
     fun stop() {
         isStopped = true
         link?.close()
@@ -49,18 +49,18 @@
             .group(loop.group)
             .channel(NioSocketChannel::class.java)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT.inWholeMilliseconds.toInt())
-            .handler(FrameInitializer(clock, Tracker()))
+            .handler(FrameChannelInitializer(clock, ReconnectingListener()))
             .connect(address.host, address.port)
             .addListener(ChannelFutureListener { if (!it.isSuccess) redial() })
     }
 
-    private fun redial() = loop.after(if (failures++ < QUICK_REDIALS) QUICK_REDIAL_PERIOD else REDIAL_PERIOD, ::dial)
+    private fun redial() = loop.after(if (failedAttempts++ < MAX_QUICK_REDIALS) QUICK_REDIAL_PERIOD else REDIAL_PERIOD, ::dial)
 
-    private inner class Tracker : LinkListener {
+    private inner class ReconnectingListener : LinkListener {
         override fun onOpen(link: FrameLink) {
             if (isStopped) return link.close()
             this@FrameDialer.link = link
-            failures = 0
+            failedAttempts = 0
             listener.onOpen(link)
         }
 
@@ -78,16 +78,16 @@
     }
 
     private companion object {
-        /** Well above the round trip between regions. */
+        /** Well above the round-trip time between regions. */
         val CONNECT_TIMEOUT = 500.milliseconds
 
-        /** After a loss and at the start: the other side is likely to start at the same time, and callers wait. */
+        /** Used at the start and after a loss, when the other process is probably just starting and callers are waiting. */
         val QUICK_REDIAL_PERIOD = 40.milliseconds
 
-        /** Covers a restart of the other process. */
-        const val QUICK_REDIALS = 25
+        /** Attempts at the short period; enough to cover a restart of the other process. */
+        const val MAX_QUICK_REDIALS = 25
 
-        /** Long against the cost of a refused connection. */
+        /** Long enough that the cost of refused connections is negligible. */
         val REDIAL_PERIOD = 200.milliseconds
     }
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/FrameLink.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/FrameLink.kt
@@ -14,41 +14,41 @@
 import java.io.IOException
 import kotlin.time.Duration
 
-/** Is told what happens on a link. All functions are called on the event loop. */
+/** Receives the events of a link. All functions are called on the event loop. */
 interface LinkListener {
-    /** The connection stands and frames may be sent. */
+    /** The connection is open and frames may be sent. */
     fun onOpen(link: FrameLink) = Unit
 
-    /** A frame came. */
+    /** A frame was received. */
     fun onFrame(
         link: FrameLink,
         text: String,
     )
 
-    /** The connection is gone; called once, and only after [onOpen]. */
+    /** The connection is closed. Called once, and only after [onOpen]. */
     fun onClosed(link: FrameLink) = Unit
 }
 
-/** A connection between two processes that carries text frames both ways, in order. Use it on the event loop only. */
+/** A connection between two processes that carries text frames in both directions, in order. Confined to the event loop. */
 class FrameLink internal constructor(
     private val channel: Channel,
     private val clock: Clock,
 ) {
-    /** When the last frame came, or the link was opened. */
+    /** When the last frame was received, or when the link was opened if there was none. */
     var heardAt: Duration = clock.monotonic()
         internal set
 
     /** True until the connection is closed by either side. */
     val isOpen: Boolean get() = channel.isActive
 
-    /** The IP number of the other side. */
+    /** The IP address of the peer. */
     val remoteHost: String get() = (channel.remoteAddress() as? java.net.InetSocketAddress)?.hostString ?: "unknown"
 
-    /** Sends [text]. A peer that reads nothing for long is cut off instead of filling the memory. */
+    /** Sends [text]. Closes the link instead if the peer reads so slowly that unsent data would fill the memory. */
     fun send(text: String) {
         if (!channel.isActive) return
-        if ((channel.unsafe().outboundBuffer()?.totalPendingWriteBytes() ?: 0) > MOST_PENDING_BYTES) {
-            Logger.warn("Link to $remoteHost closed: over $MOST_PENDING_BYTES bytes wait to be read there")
+        if ((channel.unsafe().outboundBuffer()?.totalPendingWriteBytes() ?: 0) > MAX_PENDING_WRITE_BYTES) {
+            Logger.warn("Link to $remoteHost closed: more than $MAX_PENDING_WRITE_BYTES bytes are waiting for the peer to read them")
             close()
             return
         }
@@ -60,38 +60,38 @@
         channel.close()
     }
 
-    internal fun heard() {
+    internal fun recordReceipt() {
         heardAt = clock.monotonic()
     }
 
     private companion object {
-        /** Bytes that may wait for a slow peer; several full catalogs. */
-        const val MOST_PENDING_BYTES = 8L * 1024 * 1024
+        /** Unsent bytes that may be buffered for a slow peer; holds several full catalogs. */
+        const val MAX_PENDING_WRITE_BYTES = 8L * 1024 * 1024
     }
 }
 
-internal class FrameInitializer(
+internal class FrameChannelInitializer(
     private val clock: Clock,
     private val listener: LinkListener,
 ) : ChannelInitializer<SocketChannel>() {
     override fun initChannel(channel: SocketChannel) {
         channel.config().isTcpNoDelay = true
         channel.pipeline().addLast(
-            LengthFieldBasedFrameDecoder(MOST_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
-            LengthFieldPrepender(LENGTH_BYTES),
-            FrameHandler(clock, listener),
+            LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES),
+            LengthFieldPrepender(LENGTH_FIELD_BYTES),
+            FrameChannelHandler(clock, listener),
         )
     }
 
     private companion object {
-        const val LENGTH_BYTES = 4
+        const val LENGTH_FIELD_BYTES = 4
 
-        /** Largest frame: a catalog of some thousand queues (bytes). */
-        const val MOST_FRAME_BYTES = 16 * 1024 * 1024
+        /** Holds a catalog of several thousand queues. */
+        const val MAX_FRAME_BYTES = 16 * 1024 * 1024
     }
 }
 
-private class FrameHandler(
+private class FrameChannelHandler(
     private val clock: Clock,
     private val listener: LinkListener,
 ) : SimpleChannelInboundHandler<ByteBuf>() {
@@ -106,7 +106,7 @@
         context: ChannelHandlerContext,
         message: ByteBuf,
     ) {
-        link.heard()
+        link.recordReceipt()
         listener.onFrame(link, message.toString(Charsets.UTF_8))
     }
 
@@ -116,7 +116,7 @@
         context: ChannelHandlerContext,
         cause: Throwable,
     ) {
-        if (cause !is IOException) Logger.warn(cause, "Link to ${context.channel().remoteAddress()} closed")
+        if (cause !is IOException) Logger.warn(cause, "Link to ${context.channel().remoteAddress()} closed after an error")
         context.close()
     }
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/FrameServer.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/FrameServer.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.core.Clock
 
-/** Takes links from other processes at [host]:[port]. */
+/** Accepts links from other processes on [host]:[port]. */
 class FrameServer(
     private val loop: EventLoop,
     private val clock: Clock,
@@ -10,6 +10,6 @@
     private val port: Int,
     private val listener: LinkListener,
 ) {
-    /** Starts to listen, now or as soon as the address can be used. */
-    fun start() = loop.listen(host, port, FrameInitializer(clock, listener))
+    /** Starts to listen, and retries until the address is free. */
+    fun start() = loop.listen(host, port, FrameChannelInitializer(clock, listener))
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/HttpCall.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/HttpCall.kt
@@ -1,10 +1,10 @@
 package io.bluebellramp.transport
 
 /**
- * A request that arrived whole.
+ * A fully received request.
  *
  * @property path the path without its query
- * @property header returns the value of a header by its name in any case, or null
+ * @property header returns the value of a header by its case-insensitive name, or null
  */
 class HttpCall internal constructor(
     val method: String,
@@ -13,24 +13,24 @@
     val header: (String) -> String?,
     private val exchange: HttpExchange,
 ) {
-    /** True once the caller has closed its connection, or the answer was given. */
-    val isOver: Boolean get() = exchange.isOver
+    /** True once the caller has closed its connection or a reply was sent. */
+    val isFinished: Boolean get() = exchange.isFinished
 
-    /** Calls [action] if the caller closes its connection before the answer. */
-    fun onGone(action: () -> Unit) {
-        exchange.gone = action
+    /** Calls [action] if the caller closes its connection before a reply is sent. */
+    fun onDisconnect(action: () -> Unit) {
+        exchange.onDisconnect = action
     }
 
-    /** Answers. Only the first answer counts; one to a caller that has gone is dropped. */
-    fun answer(answer: HttpAnswer) = exchange.answer(answer)
+    /** Sends the reply. Has no effect after the first reply, or once the caller has disconnected. */
+    fun respond(response: HttpResponse) = exchange.respond(response)
 }
 
 /**
- * An answer to an [HttpCall].
+ * The reply to an [HttpCall].
  *
- * @property closes true to end the connection after it
+ * @property closes true to close the connection after the reply
  */
-class HttpAnswer(
+class HttpResponse(
     val status: Int,
     val body: String = "",
     val headers: Map<String, String> = emptyMap(),
@@ -40,13 +40,13 @@
 
 /** Handles requests; called on the event loop. */
 fun interface HttpHandler {
-    /** Handles [call], now or later. */
+    /** Handles [call]. The reply may be sent later. */
     fun handle(call: HttpCall)
 }
 
 internal interface HttpExchange {
-    val isOver: Boolean
-    var gone: (() -> Unit)?
+    val isFinished: Boolean
+    var onDisconnect: (() -> Unit)?
 
-    fun answer(answer: HttpAnswer)
+    fun respond(response: HttpResponse)
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/HttpPool.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/HttpConnectionPool.kt
@@ -22,35 +22,35 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What came of an HTTP request. */
+/** The outcome of an HTTP request. */
 sealed interface HttpResult {
-    /** An answer came whole. */
-    data class Answered(
+    /** A complete response was received. */
+    data class Response(
         val status: Int,
         val body: String,
     ) : HttpResult
 
-    /** No answer came in time or the connection was lost. The request may have been carried out. */
-    data object NoAnswer : HttpResult
+    /** No response was received in time, or the connection was lost. The server may have processed the request. */
+    data object NoResponse : HttpResult
 
-    /** No connection could be made: the request was not sent. */
+    /** No connection was established, so the request was not sent. */
     data object NotSent : HttpResult
 }
 
 /**
- * Sends requests to one server over connections that are kept. Each request is sent once; a connection carries one at a time. A
- * connection whose answer is late is closed. Use it on the event loop only.
+ * Sends requests to one server over persistent connections. Requests are never retried. A connection carries one request at a time and is
+ * closed if the response is late. Confined to the event loop.
  */
-class HttpPool(
+class HttpConnectionPool(
     private val loop: EventLoop,
     private val address: Address,
 ) {
-    private val idle = ArrayDeque<Connection>()
-    private val open = HashSet<Connection>()
+    private val idleConnections = ArrayDeque<Connection>()
+    private val openConnections = HashSet<Connection>()
     private var isClosed = false
 
-    /** Connections made so far. */
-    var opened = 0L
+    /** Number of connection attempts since the start. */
+    var connectionsOpened = 0L
         private set
 
     /** Posts [body] to [path] and calls [onResult] once, on the event loop. */
@@ -62,20 +62,20 @@
         onResult: (HttpResult) -> Unit,
     ) {
         val request = Request(path, body, headers, onResult)
-        loop.after(timeout) { request.expire() }
-        val kept = idle.removeLastOrNull()
-        if (kept != null) kept.send(request) else connect(request)
+        loop.after(timeout) { request.timeOut() }
+        val reused = idleConnections.removeLastOrNull()
+        if (reused != null) reused.send(request) else connect(request)
     }
 
-    /** Closes all connections. Requests under way end without an answer. */
+    /** Closes all connections. Requests in progress end with [HttpResult.NoResponse]. */
     fun close() {
         isClosed = true
-        open.toList().forEach { it.channel.close() }
+        openConnections.toList().forEach { it.channel.close() }
     }
 
     private fun connect(request: Request) {
         val connection = Connection()
-        opened++
+        connectionsOpened++
         Bootstrap()
             .group(loop.group)
             .channel(NioSocketChannel::class.java)
@@ -84,7 +84,7 @@
                 object : ChannelInitializer<SocketChannel>() {
                     override fun initChannel(channel: SocketChannel) {
                         channel.config().isTcpNoDelay = true
-                        channel.pipeline().addLast(HttpClientCodec(), HttpObjectAggregator(MOST_ANSWER_BYTES), connection)
+                        channel.pipeline().addLast(HttpClientCodec(), HttpObjectAggregator(MAX_RESPONSE_BYTES), connection)
                     }
                 },
             ).connect(address.host, address.port)
@@ -92,8 +92,8 @@
                 ChannelFutureListener {
                     if (!it.isSuccess) return@ChannelFutureListener request.finish(HttpResult.NotSent)
                     connection.channel = it.channel()
-                    open += connection
-                    if (isClosed || request.isDone) connection.release() else connection.send(request)
+                    openConnections += connection
+                    if (isClosed || request.isDone) connection.returnToPool() else connection.send(request)
                 },
             )
     }
@@ -115,27 +115,27 @@
             channel.writeAndFlush(message, channel.voidPromise())
         }
 
-        fun release() {
-            if (isClosed) channel.close() else idle += this
+        fun returnToPool() {
+            if (isClosed) channel.close() else idleConnections += this
         }
 
         override fun channelRead0(
             context: ChannelHandlerContext,
             message: FullHttpResponse,
         ) {
-            val answered = current ?: return
+            val finished = current ?: return
             current = null
-            val result = HttpResult.Answered(message.status().code(), message.content().toString(Charsets.UTF_8))
-            if (HttpUtil.isKeepAlive(message)) release() else channel.close()
-            answered.finish(result)
+            val result = HttpResult.Response(message.status().code(), message.content().toString(Charsets.UTF_8))
+            if (HttpUtil.isKeepAlive(message)) returnToPool() else channel.close()
+            finished.finish(result)
         }
 
         override fun channelInactive(context: ChannelHandlerContext) {
-            open -= this
-            idle -= this
-            val lost = current
+            openConnections -= this
+            idleConnections -= this
+            val unanswered = current
             current = null
-            lost?.finish(HttpResult.NoAnswer)
+            unanswered?.finish(HttpResult.NoResponse)
         }
 
         override fun exceptionCaught(
@@ -162,12 +162,12 @@
             onResult(result)
         }
 
-        /** The connection is of no use after a late answer: the answer could be taken for that of another request. */
-        fun expire() {
+        /** Closes the connection, since a late response could be mistaken for that of the next request. */
+        fun timeOut() {
             if (isDone) return
-            val used = connection
-            finish(if (used == null) HttpResult.NotSent else HttpResult.NoAnswer)
-            used?.channel?.close()
+            val ownConnection = connection
+            finish(if (ownConnection == null) HttpResult.NotSent else HttpResult.NoResponse)
+            ownConnection?.channel?.close()
         }
     }
 
@@ -175,7 +175,7 @@
         /** The target runs on the same VM or in the same zone. */
         val CONNECT_TIMEOUT = 500.milliseconds
 
-        /** Largest answer (bytes); lists of several hundred ends. */
-        const val MOST_ANSWER_BYTES = 1024 * 1024
+        /** Holds a listing of several hundred ended runs. */
+        const val MAX_RESPONSE_BYTES = 1024 * 1024
     }
 }
--- a/transport/src/main/kotlin/io/bluebellramp/transport/LinkPorts.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/LinkPorts.kt
@@ -3,15 +3,15 @@
 import io.bluebellramp.core.Address
 import io.bluebellramp.messages.NodeSettings
 
-/** Where processes listen for links. Ports are the same on all VMs, so the host is enough to find a process. */
+/** Addresses on which processes accept links. Ports are the same on all VMs, so the host determines the address. */
 object LinkPorts {
-    /** Where the entry of the VM [host] listens. */
+    /** Returns the address of the entry on the VM [host]. */
     fun entry(
         settings: NodeSettings,
         host: String,
     ) = Address("$host:${settings.firstPort}")
 
-    /** Where the control process of the VM [host] listens. */
+    /** Returns the address of the control process on the VM [host]. */
     fun control(
         settings: NodeSettings,
         host: String,
--- a/transport/src/test/kotlin/io/bluebellramp/transport/FrameLinkTest.kt
+++ b/transport/src/test/kotlin/io/bluebellramp/transport/FrameLinkTest.kt
@@ -18,7 +18,7 @@
     @AfterEach
     fun close() = loop.close()
 
-    private inner class Recorder(
+    private inner class RecordingListener(
         private val name: String,
         private val onOpen: (FrameLink) -> Unit = {},
     ) : LinkListener {
@@ -37,15 +37,15 @@
         }
     }
 
-    private fun next() = events.poll(10, TimeUnit.SECONDS)
+    private fun nextEvent() = events.poll(10, TimeUnit.SECONDS)
 
     @Test
-    fun `a dialer that starts before its server reaches it, and again after the link is lost`() {
-        val dialer = FrameDialer(loop, SystemClock, address, 5.seconds, Recorder("dialer") { it.send("hello") })
+    fun `a dialer connects to a server that starts later, and reconnects after the link is lost`() {
+        val dialer = FrameDialer(loop, SystemClock, address, 5.seconds, RecordingListener("dialer") { it.send("hello") })
         loop.execute { dialer.start() }
-        FrameServer(loop, SystemClock, address.host, address.port, Recorder("server") { it.send("close") }).start()
-        val seen = List(6) { next() }
-        assertEquals(2, seen.count { it == "dialer close" }, "$seen")
-        assertEquals(2, seen.count { it == "server hello" }, "$seen")
+        FrameServer(loop, SystemClock, address.host, address.port, RecordingListener("server") { it.send("close") }).start()
+        val received = List(6) { nextEvent() }
+        assertEquals(2, received.count { it == "dialer close" }, "$received")
+        assertEquals(2, received.count { it == "server hello" }, "$received")
     }
 }
--- a/transport/src/test/kotlin/io/bluebellramp/transport/HttpListenerTest.kt
+++ b/transport/src/test/kotlin/io/bluebellramp/transport/HttpServerTest.kt
@@ -13,20 +13,20 @@
 import kotlin.test.assertNotNull
 import kotlin.test.assertTrue
 
-class HttpListenerTest {
+class HttpServerTest {
     private val loop = EventLoop()
     private val address = Address("127.0.0.1:${freePort()}")
     private val calls = LinkedBlockingQueue<HttpCall>()
-    private val listener = HttpListener(loop, address, { HttpLimits(headerBytes = 512, bodyBytes = 100) }) { calls.add(it) }
+    private val server = HttpServer(loop, address, { HttpLimits(maxHeaderBytes = 512, maxBodyBytes = 100) }) { calls.add(it) }
 
     @AfterEach
     fun close() = loop.close()
 
     private fun freePort() = ServerSocket(0).use { it.localPort }
 
-    /** Connects once the listener stands. */
+    /** Starts the server and connects to it, with retries until it listens. */
     private fun connect(): Socket {
-        listener.start()
+        server.start()
         repeat(100) {
             try {
                 return Socket(address.host, address.port).apply { soTimeout = 5000 }
@@ -34,67 +34,67 @@
                 TimeUnit.MILLISECONDS.sleep(20)
             }
         }
-        error("the listener does not listen")
+        error("the server accepts no connection")
     }
 
     private fun Socket.send(text: String) = getOutputStream().apply { write(text.toByteArray()) }.flush()
 
     private fun Socket.readStatus(): String = getInputStream().bufferedReader().readLine().orEmpty()
 
-    private fun next() = assertNotNull(calls.poll(5, TimeUnit.SECONDS), "no call came")
+    private fun nextCall() = assertNotNull(calls.poll(5, TimeUnit.SECONDS), "no call was received")
 
     @Nested
-    inner class Answers {
+    inner class Responses {
         @Test
         fun `requests of a connection are answered in order`() {
             connect().use { socket ->
                 socket.send("POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n")
-                val first = next()
+                val first = nextCall()
                 assertEquals("hi", first.body.decodeToString())
                 assertEquals(0, calls.size)
-                loop.execute { first.answer(HttpAnswer(200, "one")) }
-                val second = next()
+                loop.execute { first.respond(HttpResponse(200, "one")) }
+                val second = nextCall()
                 assertEquals("/b", second.path)
-                loop.execute { second.answer(HttpAnswer(404, closes = true)) }
+                loop.execute { second.respond(HttpResponse(404, closes = true)) }
                 val text = socket.getInputStream().readBytes().decodeToString()
                 assertTrue("200 OK" in text && "404 Not Found" in text && text.indexOf("200") < text.indexOf("404"), text)
             }
         }
 
         @Test
-        fun `a caller that leaves is noticed before its answer`() {
-            val gone = CountDownLatch(1)
+        fun `a caller that disconnects before its reply is detected`() {
+            val disconnected = CountDownLatch(1)
             connect().use { socket ->
                 socket.send("GET /a HTTP/1.1\r\n\r\n")
-                val call = next()
-                loop.execute { call.onGone { gone.countDown() } }
+                val call = nextCall()
+                loop.execute { call.onDisconnect { disconnected.countDown() } }
             }
-            assertTrue(gone.await(5, TimeUnit.SECONDS))
+            assertTrue(disconnected.await(5, TimeUnit.SECONDS))
         }
 
         @Test
-        fun `a listener whose connections are all taken leaves another one of the process its own`() {
-            val callers = Address("127.0.0.1:${freePort()}")
-            HttpListener(loop, callers, { HttpLimits(connections = MOST) }) { calls.add(it) }.start()
-            connect().use { metrics ->
-                val idle = List(MOST + 20) { Socket(callers.host, callers.port).apply { soTimeout = 5000 } }
-                assertEquals(-1, idle.last().getInputStream().read(), "one more than the bound is closed at once")
-                metrics.send("GET /metrics HTTP/1.1\r\n\r\n")
-                val call = next()
-                loop.execute { call.answer(HttpAnswer(200, "fine")) }
-                assertTrue("200" in metrics.readStatus())
-                idle.forEach { it.close() }
+        fun `a server at its connection limit does not affect another server in the same process`() {
+            val callerAddress = Address("127.0.0.1:${freePort()}")
+            HttpServer(loop, callerAddress, { HttpLimits(maxConnections = MAX_CONNECTIONS) }) { calls.add(it) }.start()
+            connect().use { metricsSocket ->
+                val idleSockets = List(MAX_CONNECTIONS + 20) { Socket(callerAddress.host, callerAddress.port).apply { soTimeout = 5000 } }
+                assertEquals(-1, idleSockets.last().getInputStream().read(), "a connection over the limit is closed at once")
+                metricsSocket.send("GET /metrics HTTP/1.1\r\n\r\n")
+                val call = nextCall()
+                loop.execute { call.respond(HttpResponse(200, "fine")) }
+                assertTrue("200" in metricsSocket.readStatus())
+                idleSockets.forEach { it.close() }
             }
         }
 
         @Test
-        fun `draining lets the request under way end and closes the connection after it`() {
+        fun `draining lets the current request finish and then closes its connection`() {
             connect().use { socket ->
                 socket.send("GET /a HTTP/1.1\r\n\r\n")
-                val call = next()
+                val call = nextCall()
                 loop.execute {
-                    listener.drain()
-                    call.answer(HttpAnswer(200, "done"))
+                    server.drain()
+                    call.respond(HttpResponse(200, "done"))
                 }
                 val text = socket.getInputStream().readBytes().decodeToString()
                 assertTrue("connection: close" in text.lowercase() && text.endsWith("done"), text)
@@ -103,7 +103,7 @@
     }
 
     @Nested
-    inner class BadInput {
+    inner class InvalidRequests {
         @Test
         fun `a body over the limit is refused`() {
             connect().use { socket ->
@@ -113,7 +113,7 @@
         }
 
         @Test
-        fun `a head over the limit is refused`() {
+        fun `headers over the limit are refused`() {
             connect().use { socket ->
                 socket.send("GET /a HTTP/1.1\r\nX-Large: ${"x".repeat(600)}\r\n\r\n")
                 assertTrue("431" in socket.readStatus())
@@ -121,7 +121,7 @@
         }
 
         @Test
-        fun `what is no HTTP is refused`() {
+        fun `data that is not HTTP is refused`() {
             connect().use { socket ->
                 socket.send("\u0001\u0002 nonsense\r\n\r\n")
                 assertTrue("400" in socket.readStatus())
@@ -130,7 +130,7 @@
     }
 
     private companion object {
-        /** Connections that the callers' listener takes in the test; the bound of the product is larger. */
-        const val MOST = 200
+        /** Connection limit of the callers' server in the test; the default limit is larger. */
+        const val MAX_CONNECTIONS = 200
     }
 }
