--- a/core/src/main/kotlin/io/bluebellramp/core/Clock.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/Clock.kt
@@ -5,20 +5,19 @@
 import kotlin.time.Duration.Companion.nanoseconds
 
 /**
- * Tells the time to a state machine.
+ * A source of time that tests can replace by one that they advance themselves.
  *
- * Use [monotonic] for ages and timeouts and [wall] only for what people read and for the time inside a submission id.
- * Tests pass a clock that they advance by hand.
+ * Use [monotonic] for ages and timeouts. Use [wall] only for times shown to people and for the time in a submission id.
  */
 interface Clock {
-    /** Time since an arbitrary fixed point of this process. It never goes back. */
+    /** Returns the time since an arbitrary fixed point of this process. It never decreases. */
     fun monotonic(): Duration
 
-    /** The time of day. It may jump. */
+    /** Returns the time of day. It may jump forward or back when the machine's clock is set. */
     fun wall(): Instant
 }
 
-/** The clock of the machine. */
+/** The clock of the operating system. */
 object SystemClock : Clock {
     override fun monotonic(): Duration = System.nanoTime().nanoseconds
 
--- a/core/src/main/kotlin/io/bluebellramp/core/Ids.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/Ids.kt
@@ -4,7 +4,7 @@
 import java.security.SecureRandom
 import java.util.HexFormat
 
-/** Names an entry process. It stays the same across restarts; [IncarnationId] does not. */
+/** Identifies an entry process. It stays the same across restarts; [IncarnationId] does not. */
 @Serializable
 @JvmInline
 value class EntryId(
@@ -13,7 +13,7 @@
     override fun toString() = value
 }
 
-/** Names an agent process. */
+/** Identifies an agent process. */
 @Serializable
 @JvmInline
 value class AgentId(
@@ -22,7 +22,7 @@
     override fun toString() = value
 }
 
-/** Names a target, the back end that runs tasks. */
+/** Identifies a target, the back end that runs tasks. */
 @Serializable
 @JvmInline
 value class TargetId(
@@ -31,7 +31,7 @@
     override fun toString() = value
 }
 
-/** Names a member of the control cluster. An id whose disk was lost never comes back. */
+/** Identifies a member of the control cluster. A member that lost its disk must return under a new id. */
 @Serializable
 @JvmInline
 value class MemberId(
@@ -40,7 +40,7 @@
     override fun toString() = value
 }
 
-/** Names an availability zone. */
+/** Identifies an availability zone. */
 @Serializable
 @JvmInline
 value class ZoneId(
@@ -49,7 +49,7 @@
     override fun toString() = value
 }
 
-/** Names a site, a group of availability zones with one overlay. */
+/** Identifies a site, a group of availability zones that share one configuration overlay. */
 @Serializable
 @JvmInline
 value class SiteId(
@@ -58,7 +58,7 @@
     override fun toString() = value
 }
 
-/** Names a service that operators created. */
+/** Identifies a service, which operators create. */
 @Serializable
 @JvmInline
 value class ServiceId(
@@ -67,7 +67,7 @@
     override fun toString() = value
 }
 
-/** Names a team, the customer that a quota belongs to. */
+/** Identifies a team, that is, the customer to which a quota applies. */
 @Serializable
 @JvmInline
 value class TeamId(
@@ -76,7 +76,7 @@
     override fun toString() = value
 }
 
-/** Names one change of the configuration, chosen by the operator, so that a resend is recognized. */
+/** Identifies a change of the configuration. The operator chooses it, so that a change that is sent again is recognized. */
 @Serializable
 @JvmInline
 value class ChangeId(
@@ -85,7 +85,7 @@
     override fun toString() = value
 }
 
-/** Names one run of a process, from start to exit. */
+/** Identifies one run of a process, from start to exit. */
 @Serializable
 @JvmInline
 value class IncarnationId(
@@ -95,18 +95,18 @@
 
     companion object {
         private val random = SecureRandom()
-        private const val BYTES = 8
+        private const val ID_BYTES = 8
 
-        /** Returns an id that no earlier run has had. */
+        /** Returns a new random id. */
         fun next(): IncarnationId {
-            val bytes = ByteArray(BYTES)
+            val bytes = ByteArray(ID_BYTES)
             random.nextBytes(bytes)
             return IncarnationId(HexFormat.of().formatHex(bytes))
         }
     }
 }
 
-/** The IP number and port where a process listens, as `host:port`. */
+/** The IP address and port at which a process listens, as `host:port`. */
 @Serializable
 @JvmInline
 value class Address(
@@ -121,7 +121,7 @@
     override fun toString() = value
 }
 
-/** A version of the configuration. Revisions only grow. */
+/** A version of the configuration. Revisions only increase. */
 @Serializable
 @JvmInline
 value class Revision(
@@ -140,7 +140,7 @@
     }
 }
 
-/** Names a best-effort job. The caller chooses it and sends the same one again after a lost answer. */
+/** Identifies a best-effort job. The caller chooses it and repeats the call with the same id if the answer was lost. */
 @Serializable
 @JvmInline
 value class JobId(
--- a/core/src/main/kotlin/io/bluebellramp/core/MergePatch.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/MergePatch.kt
@@ -4,7 +4,11 @@
 import kotlinx.serialization.json.JsonNull
 import kotlinx.serialization.json.JsonObject
 
-/** Returns [target] with the JSON merge patch [patch] applied (RFC 7396): null removes a member, an object merges, all else replaces. */
+/**
+ * Returns [target] with the JSON merge patch [patch] applied (RFC 7396).
+ *
+ * A null in the patch removes the member, an object is merged into it and any other value replaces it.
+ */
 fun mergePatch(
     target: JsonElement,
     patch: JsonElement,
--- a/core/src/main/kotlin/io/bluebellramp/core/RowIndex.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/RowIndex.kt
@@ -1,46 +1,46 @@
 package io.bluebellramp.core
 
-/** The keys of rows that are kept elsewhere: two longs for each. */
+/** Gives [RowIndex] access to the 128-bit keys of the rows of a table. */
 interface RowKeys {
-    /** The first half of the key of [row]. */
+    /** Returns the upper 64 bits of the key of [row]. */
     fun high(row: Int): Long
 
-    /** The second half of the key of [row]. */
+    /** Returns the lower 64 bits of the key of [row]. */
     fun low(row: Int): Long
 }
 
 /**
- * Finds rows in primitive arrays by their keys, in about two ints for each row.
+ * A hash index from keys to row numbers of a table that is stored in primitive arrays. It needs about two ints for each row.
  *
- * Use it where hundreds of thousands of rows are kept and an object for each would be too large. Open addressing with linear probing.
- * One thread at a time.
+ * Use it for hundreds of thousands of rows, where an object for each row would need too much memory. It uses open addressing with
+ * linear probing and is not thread-safe.
  *
- * @param keys reads the key of each row that was added
+ * @param keys the keys of the rows that were added
  */
 class RowIndex(
     private val keys: RowKeys,
 ) {
-    /** Row number + 1 by hash, 0 for none. Its length is a power of two. */
-    private var slots = IntArray(FIRST_SLOTS)
+    /** Row number + 1, or 0 for an empty slot. The length is a power of two. */
+    private var slots = IntArray(INITIAL_SLOTS)
     private var size = 0
 
-    /** Memory of the index (bytes). */
+    /** Memory that the index takes (bytes). */
     val bytes: Long get() = slots.size.toLong() * Int.SIZE_BYTES
 
-    /** Returns the row with this key, or -1. */
+    /** Returns the row with this key, or -1 if there is none. */
     fun find(
         high: Long,
         low: Long,
     ): Int = slots[slotOf(high, low)] - 1
 
-    /** Adds [row], whose key is set and has no row yet. */
+    /** Adds [row]. Its key must be readable through [RowKeys] already and must not be in the index. */
     fun add(row: Int) {
-        if (size >= slots.size / SLOTS_SHARE * FILLED_SHARE) grow()
-        put(row)
+        if (size >= slots.size / MAX_LOAD_DENOMINATOR * MAX_LOAD_NUMERATOR) grow()
+        insert(row)
         size++
     }
 
-    /** Notes that the row [from] will be at [to], where no row is any more. Call it while [from] still has its key. */
+    /** Records that the row [from] moves to the unused row [to]. Call it while [from] still has its key. */
     fun move(
         from: Int,
         to: Int,
@@ -48,23 +48,23 @@
         slots[slotOf(keys.high(from), keys.low(from))] = to + 1
     }
 
-    /** Removes [row]. What follows its slot moves back, so that no search ends too early. */
+    /** Removes [row]. Later slots are shifted back into the hole, so that a search does not stop too early. */
     fun remove(row: Int) {
         var hole = slotOf(keys.high(row), keys.low(row))
-        var next = following(hole)
+        var next = nextSlot(hole)
         while (slots[next] > 0) {
-            if (!isBetween(hole, homeOf(slots[next] - 1), next)) {
+            if (!isInCyclicRange(hole, homeSlotOf(slots[next] - 1), next)) {
                 slots[hole] = slots[next]
                 hole = next
             }
-            next = following(next)
+            next = nextSlot(next)
         }
         slots[hole] = 0
         size--
     }
 
-    /** Tells whether [home] lies behind [hole] on the way to [slot], where the slots form a ring. */
-    private fun isBetween(
+    /** Returns whether [home] is after [hole] and not after [slot], where the slots wrap around at the end of the array. */
+    private fun isInCyclicRange(
         hole: Int,
         home: Int,
         slot: Int,
@@ -73,50 +73,50 @@
     private fun grow() {
         val old = slots
         slots = IntArray(old.size * 2)
-        old.forEach { if (it > 0) put(it - 1) }
+        old.forEach { if (it > 0) insert(it - 1) }
     }
 
-    private fun put(row: Int) {
+    private fun insert(row: Int) {
         slots[slotOf(keys.high(row), keys.low(row))] = row + 1
     }
 
-    /** Returns the slot that holds the key, or the empty one where it belongs. */
+    /** Returns the slot that holds the key, or the empty slot in which to insert it. */
     private fun slotOf(
         high: Long,
         low: Long,
     ): Int {
-        var slot = homeOf(high, low)
-        while (slots[slot] > 0 && !isAt(slots[slot] - 1, high, low)) slot = following(slot)
+        var slot = homeSlotOf(high, low)
+        while (slots[slot] > 0 && !hasKey(slots[slot] - 1, high, low)) slot = nextSlot(slot)
         return slot
     }
 
-    private fun homeOf(row: Int) = homeOf(keys.high(row), keys.low(row))
+    private fun homeSlotOf(row: Int) = homeSlotOf(keys.high(row), keys.low(row))
 
-    private fun homeOf(
+    private fun homeSlotOf(
         high: Long,
         low: Long,
     ): Int {
-        val mixed = (low xor (high * HASH_FACTOR)) * HASH_FACTOR
-        return (mixed ushr HASH_SHIFT).toInt() and (slots.size - 1)
+        val hash = (low xor (high * HASH_MULTIPLIER)) * HASH_MULTIPLIER
+        return (hash ushr HASH_SHIFT_BITS).toInt() and (slots.size - 1)
     }
 
-    private fun following(slot: Int) = (slot + 1) and (slots.size - 1)
+    private fun nextSlot(slot: Int) = (slot + 1) and (slots.size - 1)
 
-    private fun isAt(
+    private fun hasKey(
         row: Int,
         high: Long,
         low: Long,
     ) = keys.high(row) == high && keys.low(row) == low
 
     private companion object {
-        const val FIRST_SLOTS = 32
+        const val INITIAL_SLOTS = 32
 
-        /** The index is doubled when it is filled to three quarters. */
-        const val FILLED_SHARE = 3
-        const val SLOTS_SHARE = 4
+        /** The array is doubled once three quarters of its slots are filled. */
+        const val MAX_LOAD_NUMERATOR = 3
+        const val MAX_LOAD_DENOMINATOR = 4
 
         /** 2^64 over the golden ratio, the multiplier of Fibonacci hashing. */
-        const val HASH_FACTOR = -0x61c8864680b583ebL
-        const val HASH_SHIFT = 32
+        const val HASH_MULTIPLIER = -0x61c8864680b583ebL
+        const val HASH_SHIFT_BITS = 32
     }
 }
--- a/core/src/main/kotlin/io/bluebellramp/core/WireJson.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/WireJson.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.json.Json
 
-/** JSON between our own processes. Unknown fields are ignored, so that versions can be mixed during an upgrade. */
+/** The JSON format between the processes of the system. It ignores unknown fields, so that versions can be mixed during an upgrade. */
 val WireJson: Json =
     Json {
         ignoreUnknownKeys = true
@@ -10,7 +10,7 @@
         encodeDefaults = false
     }
 
-/** JSON from callers and operators. An unknown field is an error. */
+/** The JSON format for input from callers and operators. An unknown field is an error. */
 val StrictJson: Json =
     Json {
         ignoreUnknownKeys = false
--- a/core/src/test/kotlin/io/bluebellramp/core/MergePatchTest.kt
+++ b/core/src/test/kotlin/io/bluebellramp/core/MergePatchTest.kt
@@ -22,7 +22,7 @@
             """{}                      | {"a":{"bb":{"ccc":null}}} | {"a":{"bb":{}}}""",
         ],
     )
-    fun `An overlay is merged as RFC 7396 says`(
+    fun `a patch is applied as RFC 7396 specifies`(
         base: String,
         patch: String,
         expected: String,
--- a/core/src/test/kotlin/io/bluebellramp/core/SubmissionIdTest.kt
+++ b/core/src/test/kotlin/io/bluebellramp/core/SubmissionIdTest.kt
@@ -11,7 +11,7 @@
     @Nested
     inner class `A new id` {
         @Test
-        fun `carries its time and is well formed`() {
+        fun `contains its creation time and is well formed`() {
             val instant = Instant.parse("2026-05-06T07:08:09.123Z")
             val id = SubmissionId.create(instant)
             assertEquals(instant, id.instant)
@@ -20,8 +20,8 @@
     }
 
     @Nested
-    inner class `Text of another form` {
-        private val wrong =
+    inner class `Malformed text` {
+        private val malformed =
             listOf(
                 "",
                 "job-1",
@@ -32,6 +32,6 @@
             )
 
         @Test
-        fun `is no id`() = wrong.forEach { assertNull(SubmissionId.parse(it), it) }
+        fun `is not accepted as an id`() = malformed.forEach { assertNull(SubmissionId.parse(it), it) }
     }
 }
