--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/HttpLink.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/HttpLink.kt
@@ -16,12 +16,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Returns an HTTP client for links between processes. It keeps its connections and never sends a request twice by itself.
+ * Returns an HTTP client for calls between processes. It reuses connections and never retries a request by itself.
  *
- * Use POST for anything that must not be repeated.
+ * Use POST for requests that must not be repeated.
  *
  * @param key sent with every request if not null
- * @param timeout bound on a whole request; null for calls that wait long
+ * @param timeout limit on the duration of a whole request; null for no limit, for long-polling calls
  */
 fun httpLink(
     key: SharedKey? = null,
@@ -33,7 +33,7 @@
         configureLink(key, connectTimeout, timeout)
     }
 
-/** Sets what every link has, whatever its engine: JSON bodies, WebSockets, time limits and the key. See [httpLink]. */
+/** Configures JSON bodies, WebSockets, timeouts and the key of a client with any engine. See [httpLink] for the parameters. */
 fun HttpClientConfig<*>.configureLink(
     key: SharedKey?,
     connectTimeout: Duration,
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/HttpServer.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/HttpServer.kt
@@ -27,27 +27,27 @@
 import io.prometheus.metrics.expositionformats.PrometheusTextFormatWriter
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 
-/** Tells a balancer whether the process is well. */
+/** The health of a process, as it is reported to load balancers. */
 interface Health {
-    /** True while the process can take work. */
+    /** Returns whether the process can accept new work. */
     fun isReady(): Boolean
 }
 
-/** Paths that need no key: health, metrics and the callers' API. */
-private val openPaths = listOf("/live", "/ready", "/metrics", "/v1/jobs", "/v1/requests", "/v1/target")
+/** Paths that require no key: health, metrics and the API for callers and targets. */
+private val unauthenticatedPaths = listOf("/live", "/ready", "/metrics", "/v1/jobs", "/v1/requests", "/v1/target")
 
-/** The name that the engine gives its HTTP codec. */
-private const val CODEC = "codec"
-private const val MAX_FRAME_BYTES = 16L * 1024 * 1024
+/** Name of the HTTP codec in the Netty pipeline, as the Ktor engine sets it. */
+private const val HTTP_CODEC_HANDLER = "codec"
+private const val MAX_WEBSOCKET_FRAME_BYTES = 16L * 1024 * 1024
 
 /**
- * Returns an HTTP server for [routes] with JSON bodies, WebSockets, `/live`, `/ready` and `/metrics`. It is not started.
+ * Returns an HTTP server for [routes] with JSON bodies, WebSockets, `/live`, `/ready` and `/metrics`. The caller starts it.
  *
- * The server cuts nothing by itself on a signal; stop it when all work in flight is done. The engine's own read timeout is off, since it
- * also cuts calls whose answer is held; [RequestTimeLimit] bounds only the arrival of a request.
+ * The server does not shut down on a signal by itself; stop it once all work in progress is done. The engine's own read timeout is not
+ * used, because it also ends calls whose response is delayed; [RequestTimeoutHandler] limits only the time in which a request arrives.
  *
- * @param key if not null, calls other than to health, metrics and the callers' API must carry it
- * @param limits what callers may use of the server
+ * @param key if not null, all calls must carry it except those to health, metrics and the API for callers and targets
+ * @param limits limits on connections and requests
  */
 fun httpServer(
     listen: Address,
@@ -58,7 +58,7 @@
     routes: Route.() -> Unit,
 ): EmbeddedServer<NettyApplicationEngine, NettyApplicationEngine.Configuration> {
     System.setProperty("io.ktor.server.engine.ShutdownHook", "false")
-    val connections = ConnectionBound(limits.connections)
+    val connectionLimiter = ConnectionLimiter(limits.maxConnections)
     return embeddedServer(
         Netty,
         configure = {
@@ -68,18 +68,18 @@
             }
             tcpKeepAlive = true
             maxHeaderSize = limits.headerBytes
-            maxInitialLineLength = limits.requestLineBytes
+            maxInitialLineLength = limits.maxRequestLineBytes
             channelPipelineConfig = {
-                connections.admit(channel())
-                addAfter(CODEC, "requestTimeLimit", RequestTimeLimit(limits))
+                connectionLimiter.admit(channel())
+                addAfter(HTTP_CODEC_HANDLER, "requestTimeLimit", RequestTimeoutHandler(limits))
             }
         },
     ) {
         install(ContentNegotiation) { json(WireJson) }
-        install(WebSockets) { maxFrameSize = MAX_FRAME_BYTES }
+        install(WebSockets) { maxFrameSize = MAX_WEBSOCKET_FRAME_BYTES }
         if (key != null) {
             intercept(ApplicationCallPipeline.Plugins) {
-                if (context.needsKey() && !key.matches(context.request.headers[HttpHeaders.Authorization])) {
+                if (context.requiresKey() && !key.matches(context.request.headers[HttpHeaders.Authorization])) {
                     context.respond(HttpStatusCode.Unauthorized, ErrorBody(ErrorCode.UNAUTHORIZED, "The call carries no valid key."))
                     finish()
                 }
@@ -88,8 +88,8 @@
         routing {
             get("/live") { call.respondText("true") }
             get("/ready") {
-                val ready = health.isReady()
-                call.respondText(ready.toString(), status = if (ready) HttpStatusCode.OK else HttpStatusCode.ServiceUnavailable)
+                val isReady = health.isReady()
+                call.respondText(isReady.toString(), status = if (isReady) HttpStatusCode.OK else HttpStatusCode.ServiceUnavailable)
             }
             get("/metrics") { call.respondText(registry.text(), ContentType.parse(PrometheusTextFormatWriter.CONTENT_TYPE)) }
             routes()
@@ -97,4 +97,4 @@
     }
 }
 
-private fun ApplicationCall.needsKey() = openPaths.none { request.path() == it || request.path().startsWith("$it/") }
+private fun ApplicationCall.requiresKey() = unauthenticatedPaths.none { request.path() == it || request.path().startsWith("$it/") }
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/JsonLines.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/JsonLines.kt
@@ -12,107 +12,107 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * Log lines as JSON objects on an output that may be slow: one thread writes them in batches, and a line that finds the queue full is
- * dropped and counted. Callers never wait.
+ * A log that writes each line as a JSON object to [out], which may be slow. Callers never block: one thread writes the lines in batches
+ * from a bounded queue, and lines that do not fit into the queue are dropped and counted.
  *
- * @param capacity lines that may wait
- * @param now tells the time of a line
+ * @param capacity highest number of lines in the queue
+ * @param now returns the time of a line
  */
 class JsonLines(
     private val out: OutputStream,
-    private val capacity: Int = CAPACITY,
+    private val capacity: Int = MAX_QUEUED_LINES,
     private val now: () -> Instant = Instant::now,
 ) {
-    /** Name of the VM that each line carries, once it is known. */
+    /** Name of the VM, added to each line. Empty until it is known. */
     @Volatile
     var node: String = ""
 
-    private val waiting = ArrayBlockingQueue<String>(capacity)
+    private val queue = ArrayBlockingQueue<String>(capacity)
     private val dropped = AtomicLong()
 
-    /** Lines dropped so far because too many waited. */
-    val droppedLines: Long get() = dropped.get()
-    private var reported = 0L
+    /** Number of lines that were not written because the queue was full or the output failed. */
+    val droppedLineCount: Long get() = dropped.get()
+    private var reportedCount = 0L
 
-    /** Adds a line. Empty fields are left out. */
+    /** Queues a line. Fields with an empty value are omitted. */
     fun add(
         level: String,
         message: String,
         fields: Map<String, Any> = emptyMap(),
     ) {
-        if (!waiting.offer(line(level, message, fields))) dropped.incrementAndGet()
+        if (!queue.offer(formatLine(level, message, fields))) dropped.incrementAndGet()
     }
 
-    /** Starts the thread that writes. */
+    /** Starts the thread that writes the queued lines. */
     fun start() {
-        Thread(::writeForEver, "log-lines").apply { isDaemon = true }.start()
+        Thread(::flushPeriodically, "log-lines").apply { isDaemon = true }.start()
     }
 
-    /** Writes what waits; call it before the process ends. */
+    /** Writes all queued lines. Call it also before the process exits. */
     @Synchronized
     fun flush() {
         val batch = ArrayList<String>()
-        waiting.drainTo(batch)
-        val lost = dropped.get()
-        if (lost > reported) batch += line("WARN", "log lines dropped", mapOf("count" to lost - reported))
-        reported = lost
+        queue.drainTo(batch)
+        val droppedCount = dropped.get()
+        if (droppedCount > reportedCount) batch += formatLine("WARN", "log lines dropped", mapOf("count" to droppedCount - reportedCount))
+        reportedCount = droppedCount
         if (batch.isEmpty()) return
         try {
             out.write(batch.joinToString(separator = "").encodeToByteArray())
             out.flush()
         } catch (_: IOException) {
-            // Nobody reads the log any more, so there is nowhere to say so.
+            // The log output itself is closed, so the error cannot be logged.
             dropped.addAndGet(batch.size.toLong())
         }
     }
 
-    private fun writeForEver() {
+    private fun flushPeriodically() {
         while (true) {
-            TimeUnit.MILLISECONDS.sleep(BATCH_MILLIS)
+            TimeUnit.MILLISECONDS.sleep(FLUSH_INTERVAL_MILLIS)
             flush()
         }
     }
 
-    private fun line(
+    private fun formatLine(
         level: String,
         message: String,
         fields: Map<String, Any>,
     ): String {
-        val text = StringBuilder(LINE_CHARACTERS)
-        text
+        val builder = StringBuilder(INITIAL_LINE_CHARACTERS)
+        builder
             .append("{\"time\":\"")
             .append(now())
             .append("\",\"level\":\"")
             .append(level)
             .append("\",\"message\":")
-        text.append(quoted(message))
-        if (node.isNotEmpty()) text.append(",\"node\":").append(quoted(node))
+        builder.append(quoted(message))
+        if (node.isNotEmpty()) builder.append(",\"node\":").append(quoted(node))
         for ((name, value) in fields) {
             val content = value.toString()
             if (content.isEmpty()) continue
-            text.append(",\"").append(name).append("\":")
-            if (value is Number || value is Boolean) text.append(content) else text.append(quoted(content))
+            builder.append(",\"").append(name).append("\":")
+            if (value is Number || value is Boolean) builder.append(content) else builder.append(quoted(content))
         }
-        return text.append("}\n").toString()
+        return builder.append("}\n").toString()
     }
 
     private fun quoted(text: String) = JsonPrimitive(text).toString()
 
-    /** The lines of this process. */
+    /** The log of this process. */
     companion object {
-        /** Lines that may wait; some seconds of the busiest process. */
-        private const val CAPACITY = 4000
+        /** Holds some seconds of log lines of the busiest process. */
+        private const val MAX_QUEUED_LINES = 4000
 
-        /** Time between two writes (ms); one write for many lines. */
-        private const val BATCH_MILLIS = 100L
-        private const val LINE_CHARACTERS = 256
+        /** Time between writes (ms). Each write covers all lines queued since the last one. */
+        private const val FLUSH_INTERVAL_MILLIS = 100L
+        private const val INITIAL_LINE_CHARACTERS = 256
 
-        /** The lines on standard output, or null if the log goes elsewhere. */
+        /** The log on standard output, or null if [install] was not called. */
         @Volatile
         var installed: JsonLines? = null
             private set
 
-        /** Sends the log to standard output from now on. Call it before any library logs its first line. */
+        /** Directs the log to standard output. Call it before any library logs its first line. */
         fun install() {
             Configuration.set("writer", "json lines")
             val lines = JsonLines(FileOutputStream(FileDescriptor.out))
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/JsonLinesWriter.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/JsonLinesWriter.kt
@@ -4,7 +4,7 @@
 import org.tinylog.core.LogEntryValue
 import org.tinylog.writers.Writer
 
-/** Passes lines of tinylog, also those of libraries, to [JsonLines]. Named `json lines` in `tinylog.properties`. */
+/** Passes tinylog entries, including those of libraries, to [JsonLines]. It is selected in tinylog by the name `json lines`. */
 class JsonLinesWriter(
     @Suppress("UNUSED_PARAMETER") properties: Map<String, String>,
 ) : Writer {
@@ -15,7 +15,7 @@
         val exception =
             entry.exception
                 ?.stackTraceToString()
-                ?.take(LONGEST_TRACE)
+                ?.take(MAX_TRACE_CHARACTERS)
                 .orEmpty()
         if (lines != null) lines.add(entry.level.name, entry.message.orEmpty(), mapOf("exception" to exception))
     }
@@ -27,7 +27,7 @@
     override fun close() = flush()
 
     private companion object {
-        /** Characters of a stack trace; the first frames tell the cause. */
-        const val LONGEST_TRACE = 2000
+        /** Longer stack traces are truncated; their first frames show the cause. */
+        const val MAX_TRACE_CHARACTERS = 2000
     }
 }
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/Logging.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/Logging.kt
@@ -5,7 +5,7 @@
 import org.tinylog.kotlin.Logger
 import java.nio.file.Path
 
-/** Fields of a log line besides its time, level and message. Each is a key of [Decision.fields]. */
+/** Fields of a log line in addition to time, level and message. Other keys of [Decision.fields] are not written to a log file. */
 val LOG_FIELDS: List<String> =
     listOf(
         "decision",
@@ -24,15 +24,16 @@
     )
 
 /**
- * Sends the log to [file] as JSON lines, or to the console as text if [file] is null.
+ * Directs the log to [file] as JSON lines, or to the console as text if [file] is null.
  *
- * Call it before any library logs its first line; later it fails. `tinylog.properties` holds the levels.
+ * Call it before any library logs its first line. Later calls fail, because tinylog then no longer accepts configuration. The log
+ * levels are set in `tinylog.properties`.
  *
- * @param isQueued true if lines wait in a queue without a bound for a thread that writes them, false if the caller of the log writes them
+ * @param isAsync true to write lines on a separate thread from an unbounded queue, false to write them on the thread that logs
  */
 fun configureLogging(
     file: Path?,
-    isQueued: Boolean = true,
+    isAsync: Boolean = true,
 ) {
     if (file == null) return
     file
@@ -40,7 +41,7 @@
         .parent
         ?.toFile()
         ?.mkdirs()
-    Configuration.set("writingthread", isQueued.toString())
+    Configuration.set("writingthread", isAsync.toString())
     Configuration.set("writer", "json")
     Configuration.set("writer.file", file.toString())
     Configuration.set("writer.format", "LDJSON")
@@ -52,14 +53,20 @@
     LOG_FIELDS.forEach { Configuration.set("writer.field.$it", "{context: $it}") }
 }
 
-/** A routing or placement decision, for one log line. */
+/**
+ * A decision of a process, for example on routing or placement, that is logged as one line.
+ *
+ * @property kind value of the field `decision`
+ * @property reason why it was made, in words
+ * @property fields further fields of the line by name
+ */
 class Decision(
     val kind: String,
     val reason: String,
     val fields: Map<String, Any> = emptyMap(),
 )
 
-/** Logs [decision] as one line. The fields follow a task through all processes. */
+/** Logs [decision] as one line. Its fields use the same names in all processes, so that a task can be followed across them. */
 fun logDecision(decision: Decision) {
     val lines = JsonLines.installed
     if (lines !=
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/Metrics.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/Metrics.kt
@@ -7,7 +7,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import java.io.ByteArrayOutputStream
 
-/** Registers and returns a counter that has one series for each value of its [labels]. */
+/** Registers and returns a counter with one time series for each combination of values of its [labels]. */
 fun PrometheusRegistry.counter(
     name: String,
     help: String,
@@ -20,7 +20,7 @@
         .labelNames(*labels)
         .register(this)
 
-/** Registers and returns a gauge that its owner sets. */
+/** Registers and returns a gauge whose value the caller sets. */
 fun PrometheusRegistry.gauge(
     name: String,
     help: String,
@@ -31,7 +31,7 @@
         .help(help)
         .register(this)
 
-/** Registers a gauge that asks for its [value] whenever the metrics are read. */
+/** Registers and returns a gauge that calls [value] each time the metrics are scraped. */
 fun PrometheusRegistry.gauge(
     name: String,
     help: String,
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/Program.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/Program.kt
@@ -9,39 +9,40 @@
 import java.util.concurrent.atomic.AtomicReference
 import kotlin.system.exitProcess
 
-/** Exit codes of every program. */
+/** Exit codes of all programs. */
 object ExitCode {
-    /** Did what was asked. */
+    /** The request was carried out. */
     const val OK = 0
 
-    /** Failed while running. */
+    /** The program failed to start or while it ran. */
     const val FAILED = 1
 
-    /** Wrong arguments or settings; nothing was started. */
+    /** The arguments or settings are invalid; nothing was started. */
     const val USAGE = 2
 
-    /** The system refused or did not complete what was asked. */
+    /** The system refused the request or did not complete it. */
     const val REFUSED = 3
 }
 
 /** The version of this build. */
 const val VERSION = "0.1.0"
 
-/** A program that has started and can be stopped without cutting work. */
+/** A program that has started and can be shut down gracefully. */
 interface RunningProgram {
-    /** Finishes what is in flight, then returns. */
+    /** Finishes the work in progress and returns when the program has stopped. */
     fun stop()
 }
 
 /**
  * Runs a server program: reads its arguments and settings, starts it, and on SIGTERM or SIGINT stops it and exits with 0.
  *
- * @param name name of the binary
- * @param reader reads the settings
- * @param logFolder tells the folder of the log file from the settings, or null for a log on the console
- * @param instance tells what sets this process apart from others of the same program, for the name of its log file
- * @param queuesLog false if the program bounds by itself what waits to be logged, see [configureLogging]
- * @param onReload called with the settings read again after SIGHUP; a file that is not valid is logged and changes nothing
+ * @param name name of the executable
+ * @param reader reads and checks the settings
+ * @param logFolder returns the folder of the log file from the settings, or null to log to the console
+ * @param instance returns the id of this process among others of the same program, for the name of its log file
+ * @param queuesLog true to log asynchronously through an unbounded queue, false if the program limits its log lines by itself; see
+ *   [configureLogging]
+ * @param onReload called with the new settings when SIGHUP has reloaded the file; an invalid file is logged and has no other effect
  * @param start starts the program and returns once it listens
  */
 fun <T> runServer(
@@ -63,34 +64,34 @@
     val check by parser.option(ArgType.Boolean, fullName = "check", description = "Check the settings and exit").default(false)
     parser.option(ArgType.Boolean, fullName = "version", description = "Print the version and exit").default(false)
     parser.parse(args)
-    val file = config ?: usageError("$name: --config FILE is required")
-    if (!check) configureLogging(reader.peek(Path.of(file))?.let { logFile(name, logFolder(it), instance(it)) }, queuesLog)
+    val file = config ?: exitWithUsageError("$name: --config FILE is required")
+    if (!check) configureLogging(reader.readUnchecked(Path.of(file))?.let { logFile(name, logFolder(it), instance(it)) }, queuesLog)
     val settings =
         when (val result = reader.read(Path.of(file))) {
             is SettingsResult.Valid -> result.settings
-            is SettingsResult.Invalid -> usageError(result.violations.joinToString("\n") { "$file: ${it.wording()}" })
+            is SettingsResult.Invalid -> exitWithUsageError(result.violations.joinToString("\n") { "$file: ${it.wording()}" })
         }
     if (check) {
         println("$file: no errors")
         exitProcess(ExitCode.OK)
     }
-    serve(name, reload = { program -> reload(reader, Path.of(file)) { onReload(program, it) } }) { start(settings) }
+    runUntilSignal(name, onHangup = { program -> reloadSettings(reader, Path.of(file)) { onReload(program, it) } }) { start(settings) }
 }
 
-private fun <T> reload(
+private fun <T> reloadSettings(
     reader: SettingsReader<T>,
     file: Path,
-    use: (T) -> Unit,
+    onValid: (T) -> Unit,
 ) {
     when (val result = reader.read(file)) {
         is SettingsResult.Valid -> {
-            logDecision(Decision(kind = "reload", reason = "the settings were read again"))
-            use(result.settings)
+            logDecision(Decision(kind = "reload", reason = "the settings file was reloaded"))
+            onValid(result.settings)
         }
 
         is SettingsResult.Invalid -> {
             val reason = result.violations.joinToString("; ") { it.wording() }
-            logDecision(Decision(kind = "reload_refused", reason = "the settings stay as they were: $reason"))
+            logDecision(Decision(kind = "reload_refused", reason = "the settings file is invalid and was not applied: $reason"))
         }
     }
 }
@@ -101,24 +102,24 @@
     instance: Any,
 ): Path? = folder?.let { Path.of(it, "$name-$instance.log") }
 
-/** The violation in one line. */
+/** Returns the violation as one line of text. */
 fun Violation.wording(): String = "$path: $message"
 
-private fun usageError(message: String): Nothing {
+private fun exitWithUsageError(message: String): Nothing {
     System.err.println(message)
     exitProcess(ExitCode.USAGE)
 }
 
-private fun serve(
+private fun runUntilSignal(
     name: String,
-    reload: (RunningProgram) -> Unit,
+    onHangup: (RunningProgram) -> Unit,
     start: () -> RunningProgram,
 ) {
     val stopRequested = CountDownLatch(1)
-    val running = AtomicReference<RunningProgram>()
+    val startedProgram = AtomicReference<RunningProgram>()
     listOf("TERM", "INT").forEach { signal -> Signal.handle(Signal(signal)) { stopRequested.countDown() } }
-    // Without a handler SIGHUP ends the process.
-    Signal.handle(Signal("HUP")) { running.get()?.let(reload) }
+    // Without a handler, SIGHUP would end the process.
+    Signal.handle(Signal("HUP")) { startedProgram.get()?.let(onHangup) }
     val program =
         try {
             start()
@@ -126,7 +127,7 @@
             System.err.println("$name: ${e.message ?: e.javaClass.simpleName}")
             exitProcess(ExitCode.FAILED)
         }
-    running.set(program)
+    startedProgram.set(program)
     stopRequested.await()
     program.stop()
     exitProcess(ExitCode.OK)
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/RequestBody.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/RequestBody.kt
@@ -11,26 +11,26 @@
 import java.nio.charset.CharacterCodingException
 import kotlin.time.Duration.Companion.seconds
 
-/** What came of reading the bytes of a body. */
+/** The result of reading a request body. */
 sealed interface BodyResult {
-    /** All bytes came. */
+    /** The body arrived completely. */
     data class Whole(
         val text: String,
     ) : BodyResult
 
-    /** There are more bytes than allowed. */
+    /** The body is larger than allowed. */
     data object TooLarge : BodyResult
 
-    /** The connection ended early or stayed silent for [BODY_TIMEOUT], or the bytes are not UTF-8. */
+    /** The connection closed early, the body did not arrive completely within [BODY_TIMEOUT], or it is not UTF-8. */
     data object Cut : BodyResult
 }
 
 private val BODY_TIMEOUT = 10.seconds
 
-/** Reads the body whole, up to [limit] bytes. */
+/** Reads the request body as text if it has at most [limit] bytes. */
 suspend fun ApplicationCall.readBody(limit: Long): BodyResult {
-    val declared = request.headers[HttpHeaders.ContentLength]?.toLongOrNull()
-    if (declared != null && declared > limit) return BodyResult.TooLarge
+    val contentLength = request.headers[HttpHeaders.ContentLength]?.toLongOrNull()
+    if (contentLength != null && contentLength > limit) return BodyResult.TooLarge
     val bytes =
         try {
             withTimeoutOrNull(BODY_TIMEOUT) { receiveChannel().readRemaining(limit + 1).readByteArray() }
@@ -38,7 +38,7 @@
             null
         } ?: return BodyResult.Cut
     if (bytes.size > limit) return BodyResult.TooLarge
-    if (declared != null && bytes.size < declared) return BodyResult.Cut
+    if (contentLength != null && bytes.size < contentLength) return BodyResult.Cut
     return try {
         BodyResult.Whole(
             Charsets.UTF_8
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/RequestTimeLimit.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/RequestTimeoutHandler.kt
@@ -21,27 +21,29 @@
 import kotlin.time.Duration
 
 /**
- * Bounds how long a request may take to arrive and how long a connection may be idle. It never bounds the wait for a response, so calls
- * whose answer is held are not cut, and it takes no part in a connection that became a WebSocket.
+ * Limits how long a request may take to arrive and how long a connection may be idle. It does not limit the wait for a response, so that
+ * calls with a delayed response are not ended, and it has no effect on a connection that became a WebSocket.
  *
- * It stands after the HTTP codec, which passes on no part of a header that is not whole. A read that yields no message while the
- * connection is idle is therefore the first part of a header.
+ * Its place in the pipeline is after the HTTP codec, which forwards headers only once they have arrived completely. A read that yields no
+ * message while the connection is idle is therefore the first part of the headers of a request.
  */
-internal class RequestTimeLimit(
+internal class RequestTimeoutHandler(
     private val limits: ConnectionLimits,
 ) : ChannelDuplexHandler() {
-    private var isArriving = false
+    private var isReceivingRequest = false
     private var isUpgraded = false
-    private var hasRead = false
-    private var unanswered = 0
+    private var hasReadMessage = false
+
+    /** Requests of which a part has arrived and whose response is not complete yet. */
+    private var openRequests = 0
     private var timer: ScheduledFuture<*>? = null
 
-    override fun handlerAdded(context: ChannelHandlerContext) = restart(context)
+    override fun handlerAdded(context: ChannelHandlerContext) = restartIdleTimer(context)
 
-    override fun handlerRemoved(context: ChannelHandlerContext) = stop()
+    override fun handlerRemoved(context: ChannelHandlerContext) = cancelTimer()
 
     override fun channelInactive(context: ChannelHandlerContext) {
-        stop()
+        cancelTimer()
         context.fireChannelInactive()
     }
 
@@ -49,18 +51,18 @@
         context: ChannelHandlerContext,
         message: Any,
     ) {
-        hasRead = true
-        if (message is HttpRequest) arrive(context)
+        hasReadMessage = true
+        if (message is HttpRequest) onRequestStarted(context)
         if (message is LastHttpContent) {
-            isArriving = false
-            restart(context)
+            isReceivingRequest = false
+            restartIdleTimer(context)
         }
         context.fireChannelRead(message)
     }
 
     override fun channelReadComplete(context: ChannelHandlerContext) {
-        if (!hasRead) arrive(context)
-        hasRead = false
+        if (!hasReadMessage) onRequestStarted(context)
+        hasReadMessage = false
         context.fireChannelReadComplete()
     }
 
@@ -69,49 +71,52 @@
         message: Any,
         promise: ChannelPromise,
     ) {
-        if (message is HttpResponse && message.status() == HttpResponseStatus.SWITCHING_PROTOCOLS) upgrade()
+        if (message is HttpResponse && message.status() == HttpResponseStatus.SWITCHING_PROTOCOLS) onUpgraded()
         if (message is LastHttpContent) {
-            unanswered = maxOf(0, unanswered - 1)
-            if (!isArriving) restart(context)
+            openRequests = maxOf(0, openRequests - 1)
+            if (!isReceivingRequest) restartIdleTimer(context)
         }
         context.write(message, promise)
     }
 
-    private fun upgrade() {
+    private fun onUpgraded() {
         isUpgraded = true
-        stop()
+        cancelTimer()
     }
 
-    private fun arrive(context: ChannelHandlerContext) {
-        if (isArriving || isUpgraded) return
-        isArriving = true
-        unanswered++
-        start(context, limits.request) { refuse(context) }
+    private fun onRequestStarted(context: ChannelHandlerContext) {
+        if (isReceivingRequest || isUpgraded) return
+        isReceivingRequest = true
+        openRequests++
+        startTimer(context, limits.request) { onRequestTimeout(context) }
     }
 
-    /** Bounds the idle time if nothing is under way. */
-    private fun restart(context: ChannelHandlerContext) {
-        stop()
-        if (unanswered == 0 && !isUpgraded) start(context, limits.idle) { context.close() }
+    /** Cancels the current timer and starts the idle timer if no request is in progress. */
+    private fun restartIdleTimer(context: ChannelHandlerContext) {
+        cancelTimer()
+        if (openRequests == 0 && !isUpgraded) startTimer(context, limits.idleTimeout) { context.close() }
     }
 
-    private fun start(
+    private fun startTimer(
         context: ChannelHandlerContext,
-        time: Duration,
+        delay: Duration,
         action: () -> Unit,
     ) {
-        stop()
-        timer = context.executor().schedule(action, time.inWholeMilliseconds, TimeUnit.MILLISECONDS)
+        cancelTimer()
+        timer = context.executor().schedule(action, delay.inWholeMilliseconds, TimeUnit.MILLISECONDS)
     }
 
-    private fun stop() {
+    private fun cancelTimer() {
         timer?.cancel(false)
         timer = null
     }
 
-    /** Says why, unless the response could be taken for the one to an earlier request or for a second one. */
-    private fun refuse(context: ChannelHandlerContext) {
-        if (unanswered == 1) {
+    /**
+     * Closes the connection. Responds with 408 first, unless the client could take that for the response to an earlier request or for a
+     * second response.
+     */
+    private fun onRequestTimeout(context: ChannelHandlerContext) {
+        if (openRequests == 1) {
             context.writeAndFlush(timeoutResponse()).addListener(ChannelFutureListener.CLOSE)
         } else {
             context.close()
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/SchemaValidator.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/SchemaValidator.kt
@@ -13,12 +13,12 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /**
- * Checks JSON text against a type of the schema and reports every violation with its JSON path.
+ * Validates JSON text against a type of the schema and reports all violations with their JSON paths.
  *
- * Use it for what people write: settings, the base file and overlays, and the bodies of callers that did not decode.
+ * Use it for text written by people, such as settings, the base file and overlays, and for the bodies of callers that failed to decode.
  */
 object SchemaValidator {
-    private const val SCHEMA = "classpath:bluebellramp.yaml#/components/schemas/"
+    private const val SCHEMA_LOCATION_PREFIX = "classpath:bluebellramp.yaml#/components/schemas/"
     private val mapper = ObjectMapper()
     private val schemas = ConcurrentHashMap<String, JsonSchema>()
     private val factory = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V7)
@@ -28,7 +28,7 @@
             .pathType(PathType.JSON_PATH)
             .build()
 
-    /** Returns the violations of [type] in [text], in the order of the schema, or an empty list. */
+    /** Returns the violations of the schema type [type] in [text], in the order of the schema. The list is empty if [text] is valid. */
     fun violations(
         text: String,
         type: String,
@@ -40,14 +40,14 @@
     }
 
     private fun schema(type: String): JsonSchema =
-        schemas.computeIfAbsent(type) { factory.getSchema(SchemaLocation.of(SCHEMA + it), config) }
+        schemas.computeIfAbsent(type) { factory.getSchema(SchemaLocation.of(SCHEMA_LOCATION_PREFIX + it), config) }
 
     private fun parse(text: String): Result<JsonNode> =
         try {
             val node = mapper.readTree(text)
             if (node == null || node.isMissingNode) Result.failure(IllegalArgumentException("empty document")) else Result.success(node)
         } catch (e: JsonProcessingException) {
-            val place = e.location?.let { " at line ${it.lineNr}, column ${it.columnNr}" }.orEmpty()
-            Result.failure(IllegalArgumentException("not JSON$place: ${e.originalMessage}"))
+            val location = e.location?.let { " at line ${it.lineNr}, column ${it.columnNr}" }.orEmpty()
+            Result.failure(IllegalArgumentException("not JSON$location: ${e.originalMessage}"))
         }
 }
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/SettingsReader.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/SettingsReader.kt
@@ -9,26 +9,26 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** What came of reading a settings file. */
+/** The result of reading a settings file. */
 sealed interface SettingsResult<out T> {
-    /** The settings are whole and within their limits. */
+    /** The settings passed all checks. */
     data class Valid<T>(
         val settings: T,
     ) : SettingsResult<T>
 
-    /** The settings have [violations]; all of them are listed. */
+    /** The settings are invalid. [violations] lists all errors that were found. */
     data class Invalid(
         val violations: List<Violation>,
     ) : SettingsResult<Nothing>
 }
 
 /**
- * Reads and checks the settings of a program.
+ * Reads and validates the settings of a program.
  *
  * @param type name of the settings type in the schema
- * @param serializer decodes the checked text
- * @param check further checks that the schema cannot express
- * @param checksSchema false leaves all checks to [serializer] and [check], for programs that must start fast
+ * @param serializer decodes the validated text
+ * @param check performs checks that the schema cannot express
+ * @param checksSchema false to skip the schema and rely on [serializer] and [check], for programs that must start fast
  */
 class SettingsReader<T>(
     private val type: String,
@@ -36,7 +36,7 @@
     private val check: (T) -> List<Violation> = { emptyList() },
     private val checksSchema: Boolean = true,
 ) {
-    /** Reads [file]. A file that cannot be read is a violation at `$`. */
+    /** Reads and validates [file]. A file that cannot be read is reported as a violation at `$`. */
     fun read(file: Path): SettingsResult<T> =
         try {
             parse(Files.readString(file))
@@ -44,8 +44,12 @@
             SettingsResult.Invalid(listOf(Violation(path = "$", message = "cannot read $file: ${e.message}")))
         }
 
-    /** Reads [file] without checks, or returns null if it does not decode. Use it for what is needed before the check, which logs. */
-    internal fun peek(file: Path): T? =
+    /**
+     * Reads [file] without validation, or returns null if it cannot be read or decoded.
+     *
+     * Use it for settings that are needed before the validation, which already logs.
+     */
+    internal fun readUnchecked(file: Path): T? =
         try {
             WireJson.decodeFromString(serializer, Files.readString(file))
         } catch (_: IOException) {
@@ -54,14 +58,14 @@
             null
         }
 
-    /** Checks and decodes [text]. */
+    /** Validates and decodes [text]. */
     fun parse(text: String): SettingsResult<T> {
         val violations = if (checksSchema) SchemaValidator.violations(text, type) else emptyList()
         if (violations.isNotEmpty()) return SettingsResult.Invalid(violations)
         return try {
             val settings = StrictJson.decodeFromString(serializer, text)
-            val further = check(settings)
-            if (further.isEmpty()) SettingsResult.Valid(settings) else SettingsResult.Invalid(further)
+            val checkViolations = check(settings)
+            if (checkViolations.isEmpty()) SettingsResult.Valid(settings) else SettingsResult.Invalid(checkViolations)
         } catch (e: SerializationException) {
             SettingsResult.Invalid(
                 listOf(
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/SharedKey.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/SharedKey.kt
@@ -6,20 +6,20 @@
 import java.nio.file.attribute.PosixFilePermission
 import java.security.MessageDigest
 
-/** The secret that operators and our own processes share. It is sent as a bearer token. */
+/** The secret shared by operators and the processes of the system. It is sent as a bearer token. */
 class SharedKey internal constructor(
     private val secret: String,
 ) {
     /** The value of the `Authorization` header. */
     val header: String get() = "Bearer $secret"
 
-    /** Tells in constant time whether [header] carries this key. */
+    /** Returns whether [header] carries this key. The comparison takes constant time. */
     fun matches(header: String?): Boolean = MessageDigest.isEqual(this.header.toByteArray(), header.orEmpty().toByteArray())
 
     companion object {
-        private const val MIN_LENGTH = 16
-        private val loopback = Regex("^127(\\.[0-9]{1,3}){3}$")
-        private val forbidden =
+        private const val MIN_KEY_CHARACTERS = 16
+        private val loopbackPattern = Regex("^127(\\.[0-9]{1,3}){3}$")
+        private val forbiddenPermissions =
             setOf(
                 PosixFilePermission.GROUP_READ,
                 PosixFilePermission.GROUP_WRITE,
@@ -30,8 +30,8 @@
         /**
          * Reads the key from [file], or returns null if [file] is null.
          *
-         * @throws IllegalArgumentException if the file can't be read or others may read it, if the key is short, or if there is no key and
-         *   [listenHost] is not a loopback address
+         * @throws IllegalArgumentException if the file cannot be read, if its group or others may read or write it, if the key is too short,
+         *   or if [file] is null and [listenHost] is not a loopback address
          */
         fun read(
             file: String?,
@@ -44,12 +44,12 @@
             }
             val path = Path.of(file)
             require(Files.isReadable(path)) { "$file cannot be read" }
-            require(Files.getPosixFilePermissions(path).none { it in forbidden }) { "$file must be readable by its owner only" }
+            require(Files.getPosixFilePermissions(path).none { it in forbiddenPermissions }) { "$file must be readable by its owner only" }
             val secret = Files.readString(path).trim()
-            require(secret.length >= MIN_LENGTH) { "$file must hold at least $MIN_LENGTH characters" }
+            require(secret.length >= MIN_KEY_CHARACTERS) { "$file must hold at least $MIN_KEY_CHARACTERS characters" }
             return SharedKey(secret)
         }
 
-        private fun isLoopback(host: String) = loopback.matches(host) || host == "localhost" || host == "::1" || host == "[::1]"
+        private fun isLoopback(host: String) = loopbackPattern.matches(host) || host == "localhost" || host == "::1" || host == "[::1]"
     }
 }
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/ArgumentsTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/ArgumentsTest.kt
@@ -10,15 +10,15 @@
 import kotlin.test.assertTrue
 
 class ArgumentsTest {
-    private class Exit(
+    private class ExitException(
         message: String,
         val code: Int,
     ) : Exception(message)
 
     @OptIn(ExperimentalCli::class)
-    private fun exit(vararg args: String): Exit =
-        assertFailsWith<Exit> {
-            val parser = argumentParser("tool") { message, code -> throw Exit(message, code) }
+    private fun parseUntilExit(vararg args: String): ExitException =
+        assertFailsWith<ExitException> {
+            val parser = argumentParser("tool") { message, code -> throw ExitException(message, code) }
             parser.subcommands(
                 object : Subcommand("load", "Load") {
                     val size by option(ArgType.Int, fullName = "size", description = "Size")
@@ -30,11 +30,11 @@
         }
 
     @Nested
-    inner class `A wrong argument` {
+    inner class `An invalid argument` {
         @Test
         fun `exits with 2 and prints the usage`() {
             listOf(arrayOf("--nothing"), arrayOf("load", "--nothing"), arrayOf("load", "--size", "many"), arrayOf("more")).forEach {
-                val exit = exit(*it)
+                val exit = parseUntilExit(*it)
                 assertEquals(ExitCode.USAGE, exit.code, it.toList().toString())
                 assertTrue("Usage: tool" in exit.message.orEmpty(), exit.message)
             }
@@ -42,8 +42,8 @@
     }
 
     @Nested
-    inner class `A question for help` {
+    inner class `A request for help` {
         @Test
-        fun `exits with 0`() = assertEquals(ExitCode.OK, exit("--help").code)
+        fun `exits with 0`() = assertEquals(ExitCode.OK, parseUntilExit("--help").code)
     }
 }
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/ConnectionLimitsTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/ConnectionLimitsTest.kt
@@ -21,26 +21,26 @@
 private const val READ_TIMEOUT_MILLIS = 10_000
 private const val POLL_MILLIS = 20L
 
-/** Longer than each limit of the server, which is long enough for a busy machine (ms). */
-private const val HELD_MILLIS = 4_000L
+/** Longer than each time limit of the server, which in turn are long enough for a busy machine (ms). */
+private const val RESPONSE_DELAY_MILLIS = 4_000L
 
-/** A real server with short limits. */
+/** Tests [ConnectionLimits] on a real server with short limits. */
 class ConnectionLimitsTest {
     private val port = ServerSocket(0).use { it.localPort }
     private val health =
         object : Health {
             override fun isReady() = true
         }
-    private val limits = ConnectionLimits(connections = 3, request = 1.seconds, idle = 3.seconds, headerBytes = 1_024)
+    private val limits = ConnectionLimits(maxConnections = 3, request = 1.seconds, idleTimeout = 3.seconds, headerBytes = 1_024)
     private val server =
         httpServer(Address("127.0.0.1:$port"), health, PrometheusRegistry(), limits = limits) {
             post("/held") {
                 val text = call.receiveText()
-                delay(HELD_MILLIS)
+                delay(RESPONSE_DELAY_MILLIS)
                 call.respondText(text)
             }
             webSocket("/socket") {
-                delay(HELD_MILLIS)
+                delay(RESPONSE_DELAY_MILLIS)
                 send(Frame.Text("news"))
             }
         }.start(wait = false)
@@ -50,7 +50,7 @@
 
     private fun connect() = Socket("127.0.0.1", port).apply { soTimeout = READ_TIMEOUT_MILLIS }
 
-    /** Sends [text] and returns all that comes until the server closes. */
+    /** Sends [text] and returns everything received until the server closes the connection. */
     private fun exchange(text: String) =
         connect().use {
             it.getOutputStream().write(text.toByteArray())
@@ -62,39 +62,41 @@
     @Nested
     inner class `A caller` {
         @Test
-        fun `who sends headers or a body too slowly gets 408`() {
+        fun `that sends headers or a body too slowly gets 408`() {
             assertEquals("408", status("POST /held HTTP/1.1\r\nHost"))
             assertEquals("408", status("POST /held HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbo"))
         }
 
         @Test
-        fun `whose headers are too large is refused`() {
+        fun `whose headers are too large is rejected`() {
             val status = status("GET /live HTTP/1.1\r\nHost: x\r\nFill: ${"x".repeat(2_000)}\r\n\r\n")
             assertTrue(status in setOf("400", "431"), status)
         }
 
         @Test
-        fun `whose answer is held gets it, and the idle connection is closed then`() {
+        fun `that waits for a delayed response receives it, and the idle connection is closed afterwards`() {
             val text = exchange("POST /held HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nbody")
             assertTrue(text.startsWith("HTTP/1.1 200 ") && text.endsWith("body"), text)
         }
 
         @Test
-        fun `beyond the number of connections is turned away, and let in once another one leaves`() {
-            val held = List(limits.connections) { connect() }
-            held.forEach {
+        fun `above the connection limit is rejected, and accepted once another one has disconnected`() {
+            val openConnections = List(limits.maxConnections) { connect() }
+            openConnections.forEach {
                 it.getOutputStream().write("GET /live HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
                 assertEquals('H'.code, it.getInputStream().read())
                 it.getOutputStream().write("POST /held HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\na".toByteArray())
             }
-            assertEquals(null, live())
-            held.forEach { it.close() }
-            val answer = generateSequence { Thread.sleep(POLL_MILLIS).let { live() ?: "" } }.take(READ_TIMEOUT_MILLIS / POLL_MILLIS.toInt())
-            assertEquals("200", answer.first { it.isNotEmpty() })
+            assertEquals(null, liveStatus())
+            openConnections.forEach { it.close() }
+            val statuses =
+                generateSequence { Thread.sleep(POLL_MILLIS).let { liveStatus() ?: "" } }
+                    .take(READ_TIMEOUT_MILLIS / POLL_MILLIS.toInt())
+            assertEquals("200", statuses.first { it.isNotEmpty() })
         }
 
-        /** The status of a short call, or null if the connection was turned away. */
-        private fun live() =
+        /** Returns the status of a call to `/live`, or null if the connection was closed without a response. */
+        private fun liveStatus() =
             try {
                 status("GET /live HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             } catch (_: IOException) {
@@ -105,7 +107,7 @@
     @Nested
     inner class `A WebSocket` {
         @Test
-        fun `that is silent for longer than the limits stays open`() {
+        fun `without traffic for longer than the time limits stays open`() {
             val upgrade =
                 "GET /socket HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n" +
                     "Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpLinkTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpLinkTest.kt
@@ -16,7 +16,7 @@
 import kotlin.test.assertFails
 
 class HttpLinkTest {
-    /** Answers the first request of each connection; closes a kept connection after it has read the second. */
+    /** Responds to the first request of each connection and closes the connection after reading a second one. */
     private class ClosingServer : AutoCloseable {
         private val server = ServerSocket(0, 50, InetAddress.getLoopbackAddress())
         val requests = AtomicInteger()
@@ -43,10 +43,10 @@
         }
 
         private fun readRequest(reader: BufferedReader) {
-            val head = generateSequence { reader.readLine()?.ifEmpty { null } }.toList()
-            if (head.isEmpty()) return
+            val headerLines = generateSequence { reader.readLine()?.ifEmpty { null } }.toList()
+            if (headerLines.isEmpty()) return
             val length =
-                head
+                headerLines
                     .first { it.startsWith("content-length", ignoreCase = true) }
                     .substringAfter(':')
                     .trim()
@@ -59,9 +59,9 @@
     }
 
     @Nested
-    inner class `A kept connection that the server closes after it read the request` {
+    inner class `A reused connection that the server closes after reading the request` {
         @Test
-        fun `fails the call, and nothing is sent a second time`() {
+        fun `fails the call without sending the request again`() {
             ClosingServer().use { server ->
                 runBlocking {
                     httpLink().use { http ->
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpServerTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpServerTest.kt
@@ -26,30 +26,30 @@
 import kotlin.test.assertTrue
 import kotlin.time.Duration.Companion.milliseconds
 
-private val HOLD = 11_000.milliseconds
+private val RESPONSE_DELAY = 11_000.milliseconds
 
 class HttpServerTest {
     private val registry = PrometheusRegistry()
-    private val ready =
+    private val notReady =
         object : Health {
             override fun isReady() = false
         }
 
-    private fun <T> serving(
+    private fun <T> withServer(
         key: SharedKey? = null,
         block: suspend (String) -> T,
     ): T {
         val port = ServerSocket(0).use { it.localPort }
         val server =
-            httpServer(Address("127.0.0.1:$port"), ready, registry, key) {
+            httpServer(Address("127.0.0.1:$port"), notReady, registry, key) {
                 get("/quick") { call.respondText("answer") }
                 get("/held") {
-                    delay(HOLD)
+                    delay(RESPONSE_DELAY)
                     call.respondText("answer")
                 }
                 post("/held") {
                     val text = call.receiveText()
-                    delay(HOLD)
+                    delay(RESPONSE_DELAY)
                     call.respondText(text)
                 }
             }
@@ -62,10 +62,10 @@
     }
 
     @Nested
-    inner class `A call whose answer is held` {
+    inner class `A call whose response is delayed` {
         @Test
-        fun `is answered`() =
-            serving { url ->
+        fun `receives its response`() =
+            withServer { url ->
                 httpLink().use { http ->
                     coroutineScope {
                         val get = async { http.get("$url/held") }
@@ -80,13 +80,13 @@
     @Nested
     inner class `A server` {
         @Test
-        fun `tells health and metrics`() {
+        fun `serves health and metrics`() {
             Counter
                 .builder()
                 .name("answers")
                 .register(registry)
                 .inc()
-            serving { url ->
+            withServer { url ->
                 httpLink().use { http ->
                     assertEquals(HttpStatusCode.OK, http.get("$url/live").status)
                     assertEquals(HttpStatusCode.ServiceUnavailable, http.get("$url/ready").status)
@@ -96,8 +96,8 @@
         }
 
         @Test
-        fun `with a key refuses calls that lack it, but tells its health`() =
-            serving(SharedKey("0123456789abcdef")) { url ->
+        fun `with a key rejects calls without it, but serves its health`() =
+            withServer(SharedKey("0123456789abcdef")) { url ->
                 httpLink().use { http ->
                     assertEquals(HttpStatusCode.Unauthorized, http.get("$url/quick").status)
                     assertEquals(
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/JsonLinesTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/JsonLinesTest.kt
@@ -14,44 +14,44 @@
     private val out = ByteArrayOutputStream()
     private val lines = JsonLines(out, capacity = 3) { Instant.EPOCH }
 
-    private fun written(): List<JsonObject> =
+    private fun parsedLines(): List<JsonObject> =
         out
             .toString(Charsets.UTF_8)
             .trimEnd()
             .lines()
             .map { Json.parseToJsonElement(it) as JsonObject }
 
-    private fun JsonObject.text(name: String) = this[name]?.jsonPrimitive?.content
+    private fun JsonObject.field(name: String) = this[name]?.jsonPrimitive?.content
 
     @Test
-    fun `a line is one object, whatever its fields hold`() {
+    fun `a line is one JSON object, whatever characters its fields contain`() {
         lines.add("INFO", "two\nlines", mapOf("quote" to "\"\\", "number" to 7, "empty" to ""))
         lines.flush()
-        val line = written().single()
-        assertEquals("two\nlines", line.text("message"))
-        assertEquals("\"\\", line.text("quote"))
+        val line = parsedLines().single()
+        assertEquals("two\nlines", line.field("message"))
+        assertEquals("\"\\", line.field("quote"))
         assertEquals(null, line["empty"])
     }
 
     @Test
-    fun `lines beyond the bound are dropped, counted and told once`() {
+    fun `lines beyond the capacity are dropped, counted and reported once`() {
         repeat(5) { lines.add("INFO", "line $it") }
         lines.flush()
         lines.flush()
-        assertEquals(listOf("line 0", "line 1", "line 2", "log lines dropped"), written().map { it.text("message") })
-        assertEquals("2", written().last().text("count"))
+        assertEquals(listOf("line 0", "line 1", "line 2", "log lines dropped"), parsedLines().map { it.field("message") })
+        assertEquals("2", parsedLines().last().field("count"))
     }
 
     @Test
-    fun `an output that fails costs lines and nothing else`() {
-        val broken =
+    fun `lines are lost without an exception if the output fails`() {
+        val failing =
             JsonLines(
                 object : OutputStream() {
                     override fun write(byte: Int) = throw IOException("closed")
                 },
             )
-        broken.add("INFO", "x")
-        broken.flush()
-        assertEquals(1, broken.droppedLines)
+        failing.add("INFO", "x")
+        failing.flush()
+        assertEquals(1, failing.droppedLineCount)
     }
 }
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/RequestTimeLimitTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/RequestTimeoutHandlerTest.kt
@@ -19,18 +19,18 @@
 import kotlin.time.Duration.Companion.minutes
 import kotlin.time.Duration.Companion.seconds
 
-private const val HEAD = "POST /x HTTP/1.1\r\nContent-Length: 4\r\n"
+private const val REQUEST_HEAD = "POST /x HTTP/1.1\r\nContent-Length: 4\r\n"
 
-/** Runs in the virtual time of an embedded channel. */
-class RequestTimeLimitTest {
-    private val limits = ConnectionLimits(request = 15.seconds, idle = 5.minutes)
+/** Tests [RequestTimeoutHandler] in the virtual time of an embedded channel. */
+class RequestTimeoutHandlerTest {
+    private val limits = ConnectionLimits(request = 15.seconds, idleTimeout = 5.minutes)
     private val channel = channel()
 
-    /** The time stands still before the handler sets its first timer. */
+    /** Returns a channel whose time is frozen before the handler starts its first timer. */
     private fun channel() =
         EmbeddedChannel().apply {
             freezeTime()
-            pipeline().addLast(HttpServerCodec(), RequestTimeLimit(limits))
+            pipeline().addLast(HttpServerCodec(), RequestTimeoutHandler(limits))
         }
 
     private fun receive(
@@ -38,7 +38,7 @@
         to: EmbeddedChannel = channel,
     ) = texts.forEach { to.writeInbound(Unpooled.copiedBuffer(it, Charsets.US_ASCII)) }
 
-    private fun pass(
+    private fun advanceTime(
         time: Duration,
         channel: EmbeddedChannel = this.channel,
     ) {
@@ -46,61 +46,61 @@
         channel.runScheduledPendingTasks()
     }
 
-    private fun sent(channel: EmbeddedChannel = this.channel) =
+    private fun readSent(channel: EmbeddedChannel = this.channel) =
         generateSequence { channel.readOutbound<Any>() }.filterIsInstance<ByteBuf>().joinToString("") { it.toString(Charsets.US_ASCII) }
 
-    private fun answer(channel: EmbeddedChannel = this.channel) =
+    private fun respond(channel: EmbeddedChannel = this.channel) =
         channel.writeOutbound(DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER))
 
     private fun assertTimedOut() {
-        val text = sent()
+        val text = readSent()
         assertTrue(text.startsWith("HTTP/1.1 408 ") && "request_timeout" in text, text)
         assertFalse(channel.isOpen)
     }
 
     @Nested
-    inner class `A request that trickles in` {
-        private fun trickle(parts: List<String>) =
+    inner class `A request that arrives slowly` {
+        private fun sendSlowly(parts: List<String>) =
             parts.forEach {
                 assertTrue(channel.isOpen)
                 receive(it)
-                pass(5.seconds)
+                advanceTime(5.seconds)
             }
 
         @Test
-        fun `is refused with 408 when its headers are not whole in time`() {
-            trickle(listOf("POST /x", " HTTP/1.1\r\n", "Content-"))
+        fun `gets 408 when its headers are not complete in time`() {
+            sendSlowly(listOf("POST /x", " HTTP/1.1\r\n", "Content-"))
             assertTimedOut()
         }
 
         @Test
-        fun `is refused with 408 when its body is not whole in time`() {
-            trickle(listOf("$HEAD\r\n", "a", "b"))
+        fun `gets 408 when its body is not complete in time`() {
+            sendSlowly(listOf("$REQUEST_HEAD\r\n", "a", "b"))
             assertTimedOut()
         }
 
         @Test
-        fun `counts from its own first byte on a kept connection`() {
-            receive("$HEAD\r\nbody")
-            answer()
-            pass(1.minutes)
+        fun `is timed from its own first byte on a reused connection`() {
+            receive("$REQUEST_HEAD\r\nbody")
+            respond()
+            advanceTime(1.minutes)
             receive("POST")
-            pass(14.seconds)
+            advanceTime(14.seconds)
             assertTrue(channel.isOpen)
-            sent()
-            pass(1.seconds)
+            readSent()
+            advanceTime(1.seconds)
             assertTimedOut()
         }
 
         @Test
-        fun `is cut without a word when that could be taken for another answer`() {
-            val answered = channel()
-            receive("$HEAD\r\nbody", "GET /y")
-            receive("$HEAD\r\n", to = answered)
-            answer(answered)
-            listOf(channel, answered).forEach {
-                pass(15.seconds, it)
-                assertFalse("408" in sent(it))
+        fun `is closed without a response when a 408 could be taken for the response to another request`() {
+            val responded = channel()
+            receive("$REQUEST_HEAD\r\nbody", "GET /y")
+            receive("$REQUEST_HEAD\r\n", to = responded)
+            respond(responded)
+            listOf(channel, responded).forEach {
+                advanceTime(15.seconds, it)
+                assertFalse("408" in readSent(it))
                 assertFalse(it.isOpen)
             }
         }
@@ -109,25 +109,25 @@
     @Nested
     inner class `A connection` {
         @Test
-        fun `is kept while an answer is held, and while it is a WebSocket`() {
-            receive("$HEAD\r\nbody")
-            pass(1.hours)
+        fun `stays open while a response is pending, and while it is a WebSocket`() {
+            receive("$REQUEST_HEAD\r\nbody")
+            advanceTime(1.hours)
             assertTrue(channel.isOpen)
             channel.writeOutbound(DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.SWITCHING_PROTOCOLS))
-            pass(1.hours)
+            advanceTime(1.hours)
             assertTrue(channel.isOpen)
         }
 
         @Test
-        fun `is closed when it is idle for long, before its first request or after an answer`() {
+        fun `is closed when it is idle for too long before its first request or after a response`() {
             val fresh = channel()
-            receive("$HEAD\r\nbody")
-            pass(1.hours)
-            answer()
+            receive("$REQUEST_HEAD\r\nbody")
+            advanceTime(1.hours)
+            respond()
             listOf(fresh, channel).forEach {
-                pass(limits.idle - 1.milliseconds, it)
+                advanceTime(limits.idleTimeout - 1.milliseconds, it)
                 assertTrue(it.isOpen)
-                pass(1.milliseconds, it)
+                advanceTime(1.milliseconds, it)
                 assertFalse(it.isOpen)
             }
         }
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/SettingsReaderTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/SettingsReaderTest.kt
@@ -11,14 +11,14 @@
 
     private val valid = """{"agent": "a", "site": "s", "zone": "z", "listen": "127.0.0.1:1", "entries": ["127.0.0.1:2"]}"""
 
-    private fun paths(text: String) = assertIs<SettingsResult.Invalid>(reader.parse(text)).violations.map { it.path }.toSet()
+    private fun violationPaths(text: String) = assertIs<SettingsResult.Invalid>(reader.parse(text)).violations.map { it.path }.toSet()
 
     @Nested
     inner class `Settings with errors` {
         @Test
         fun `are reported all at once, each with its path`() {
             val text = """{"agent": "A B", "zone": 7, "listen": "nowhere", "entries": [], "colour": "red"}"""
-            assertEquals(setOf("$", "$.agent", "$.zone", "$.listen", "$.entries"), paths(text))
+            assertEquals(setOf("$", "$.agent", "$.zone", "$.listen", "$.entries"), violationPaths(text))
         }
 
         @Test
@@ -29,11 +29,11 @@
         }
 
         @Test
-        fun `that are empty are reported`() = assertEquals(setOf("$"), paths(""))
+        fun `that are empty are reported`() = assertEquals(setOf("$"), violationPaths(""))
     }
 
     @Nested
-    inner class `Whole settings` {
+    inner class `Valid settings` {
         @Test
         fun `are read with their defaults`() {
             val settings = assertIs<SettingsResult.Valid<AgentSettings>>(reader.parse(valid)).settings
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/SharedKeyTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/SharedKeyTest.kt
@@ -16,7 +16,7 @@
     @TempDir
     lateinit var folder: Path
 
-    private fun file(
+    private fun keyFile(
         text: String,
         permissions: String,
     ): String {
@@ -29,23 +29,23 @@
     @Nested
     inner class `A key file` {
         @Test
-        fun `that others can read is refused`() {
-            assertFailsWith<IllegalArgumentException> { SharedKey.read(file("0123456789abcdef", "rw-r--r--"), "127.0.0.1") }
+        fun `that others can read is rejected`() {
+            assertFailsWith<IllegalArgumentException> { SharedKey.read(keyFile("0123456789abcdef", "rw-r--r--"), "127.0.0.1") }
         }
 
         @Test
-        fun `that is not there is refused`() {
+        fun `that does not exist is rejected`() {
             assertFailsWith<IllegalArgumentException> { SharedKey.read(folder.resolve("none").toString(), "127.0.0.1") }
         }
 
         @Test
-        fun `that is short is refused`() {
-            assertFailsWith<IllegalArgumentException> { SharedKey.read(file("short", "rw-------"), "127.0.0.1") }
+        fun `that is too short is rejected`() {
+            assertFailsWith<IllegalArgumentException> { SharedKey.read(keyFile("short", "rw-------"), "127.0.0.1") }
         }
 
         @Test
-        fun `matches its own header only`() {
-            val key = assertNotNull(SharedKey.read(file("0123456789abcdef\n", "rw-------"), "10.0.0.1"))
+        fun `matches only its own header`() {
+            val key = assertNotNull(SharedKey.read(keyFile("0123456789abcdef\n", "rw-------"), "10.0.0.1"))
             assertTrue(key.matches("Bearer 0123456789abcdef"))
             assertFalse(key.matches("Bearer 0123456789abcdeg"))
             assertFalse(key.matches(null))
@@ -55,7 +55,7 @@
     @Nested
     inner class `No key file` {
         @Test
-        fun `is possible on loopback only`() {
+        fun `is accepted on loopback only`() {
             assertNull(SharedKey.read(null, "127.0.0.1"))
             listOf("10.0.0.1", "0.0.0.0", "127.example.org").forEach { host ->
                 assertFailsWith<IllegalArgumentException>(host) { SharedKey.read(null, host) }
