--- a/messages/src/main/kotlin/io/bluebellramp/messages/AgentFrame.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/AgentFrame.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** What an agent sends to an entry. */
+/** A frame from an agent to an entry. */
 @Serializable
 data class AgentFrame(
     val hello: AgentHello? = null,
@@ -10,8 +10,8 @@
     val permitRequest: PermitRequest? = null,
     val credits: Credits? = null,
     val recalled: Credits? = null,
-    /** What became of tasks. */
+    /** Outcomes of attempts. */
     val outcomes: List<TaskOutcome> = emptyList(),
-    /** True when the agent shuts down. It takes no new work and finishes what it has. */
+    /** True when the agent shuts down. It accepts no new work and finishes the work it has. */
     val leaving: Boolean = false,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/AgentSettings.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/AgentSettings.kt
@@ -13,12 +13,12 @@
     val site: SiteId,
     val zone: ZoneId,
     val listen: Address,
-    /** Entries to contact first. The others are learned from permits. */
+    /** Entries to contact first. The agent learns the others from permits. */
     val entries: List<Address>,
-    /** A target that has not announced itself for this long is forgotten (ms). */
+    /** Time after which a target that has not announced itself again counts as absent (ms). */
     val announcementLifeMillis: Long = 2000,
-    /** File with the shared secret. Absent switches authentication off which is possible on loopback only. */
+    /** File with the shared secret. If absent, authentication is disabled, which is allowed on loopback only. */
     val keyFile: String? = null,
-    /** Folder for the log file. Absent logs to the console. */
+    /** Folder for the log file. If absent, the log goes to the console. */
     val logFolder: String? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Answer.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Answer.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.core.SubmissionId
 import kotlinx.serialization.Serializable
 
-/** The whole answer to a submission. */
+/** The complete answer to a submission. */
 @Serializable
 data class Answer(
     val submission: SubmissionId,
@@ -13,6 +13,6 @@
     /** How many tasks started. Absent when unknown. */
     val startedTasks: Int? = null,
     val error: ErrorBody? = null,
-    /** Time from arrival at the owner to the answer (ms). */
+    /** Time from arrival at the entry that owns the submission to the answer (ms). */
     val elapsedMillis: Double = 0.0,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/AnswerHandover.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/AnswerHandover.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** Answers that no caller has fetched from an entry that shuts down. */
+/** Final answers that an entry passes on at shutdown because no caller has fetched them. */
 @Serializable
 data class AnswerHandover(
     /** The answers. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/AnswerOutcome.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/AnswerOutcome.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Complete has every result; not run means that nothing started and nothing can start any more; failed is all else. */
+/** The outcome of a submission. Complete: every task has a result. Not run: no task started and none can start any more. Failed: all other cases. */
 @Serializable
 enum class AnswerOutcome {
     @SerialName("complete")
--- a/messages/src/main/kotlin/io/bluebellramp/messages/AppendRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/AppendRequest.kt
@@ -2,15 +2,15 @@
 
 import kotlinx.serialization.Serializable
 
-/** Records or a heartbeat of the leader. */
+/** Log records or a heartbeat from the leader. */
 @Serializable
 data class AppendRequest(
     /** Term of the leader. */
     val term: Long,
     val leader: MemberAddress,
-    /** Number of the round from which the leader knows when it sent it. */
+    /** Number of the round. The leader uses it to look up when it sent the request. */
     val round: Long,
-    /** Index before the first record. */
+    /** Index of the record before the first one in this request. */
     val previousIndex: Long,
     /** Term of that index. */
     val previousTerm: Long,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/AppendResponse.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/AppendResponse.kt
@@ -2,15 +2,15 @@
 
 import kotlinx.serialization.Serializable
 
-/** What a member did with records. */
+/** The response of a member to an append request. */
 @Serializable
 data class AppendResponse(
     /** Term of the member. */
     val term: Long,
-    /** The round that it answers. */
+    /** Number of the round of the request. */
     val round: Long,
     /** False if the previous record did not match. */
     val accepted: Boolean,
-    /** Last synced index that matches the leader if accepted or else the place from which to try again. */
+    /** If accepted, the last index that matches the leader and is synced to disk; otherwise the index from which to try again. */
     val lastIndex: Long,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ChangeRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ChangeRequest.kt
@@ -7,12 +7,12 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonObject
 
-/** A change of the configuration. It is applied whole or not at all. */
+/** A change of the configuration. It is applied completely or not at all. */
 @Serializable
 data class ChangeRequest(
     val change: ChangeId,
     val basedOn: Revision,
-    /** Who asks. */
+    /** Who requests the change. */
     val author: String? = null,
     val base: JsonObject? = null,
     /** New overlays by site. An empty object removes the overlay. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ChangeResponse.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ChangeResponse.kt
@@ -4,14 +4,14 @@
 import io.bluebellramp.core.Revision
 import kotlinx.serialization.Serializable
 
-/** What became of a change. */
+/** The result of a change. */
 @Serializable
 data class ChangeResponse(
     val change: ChangeId,
     val outcome: ChangeOutcome,
     val revision: Revision,
     val winner: ChangeWinner? = null,
-    /** Why the configuration is invalid. */
+    /** Errors that make the configuration invalid. */
     val violations: List<Violation> = emptyList(),
     /** True if the revision is in force everywhere. */
     val inForce: Boolean = false,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ClaimMembers.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ClaimMembers.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** The voting members that hold claims. */
+/** The voting members of the control cluster. They hold the claims. */
 @Serializable
 data class ClaimMembers(
     /** Log index of the membership. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ClaimRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ClaimRequest.kt
@@ -2,14 +2,14 @@
 
 import kotlinx.serialization.Serializable
 
-/** An entry claims submissions at one member. The majority of grants makes it the owner. */
+/** The claims of an entry on submissions at one member. Grants from a majority of members make the entry the owner. */
 @Serializable
 data class ClaimRequest(
-    /** Version of the membership that the entry counts its majority in. */
+    /** Version of the membership in which the entry counts its majority. */
     val membership: Long,
     val holder: ClaimHolder,
     /** The claims. */
     val claims: List<Claim>,
-    /** Number of the round at the entry, which grows with each. */
+    /** Number of the claim round at the entry. It increases with each round. */
     val sequence: Long = 0,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ClaimTable.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ClaimTable.kt
@@ -2,15 +2,15 @@
 
 import kotlinx.serialization.Serializable
 
-/** A page of the claims of one member, for a member that restarted. */
+/** A page of the claims of one member. A member that restarted reads it. */
 @Serializable
 data class ClaimTable(
     /** Version of the membership at the member. */
     val membership: Long,
-    /** False if the member itself abstains. */
+    /** False if the member abstains because its own claims may be incomplete. */
     val complete: Boolean,
     /** The claims. */
     val claims: List<HeldClaim>,
-    /** Group from which the next page goes on. Absent if this is the last one. */
+    /** Group with which the next page starts. Absent on the last page. */
     val next: Long? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ClaimVerdict.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ClaimVerdict.kt
@@ -2,12 +2,12 @@
 
 import kotlinx.serialization.Serializable
 
-/** What one member says of a claim. */
+/** The verdict of one member on a claim. */
 @Serializable
 data class ClaimVerdict(
     /** True if the claimant now holds the claim at this member. */
     val granted: Boolean,
     val holder: ClaimHolder? = null,
-    /** Digest of the claim that is held. */
+    /** Digest of the body in the claim that the member holds. */
     val digest: String? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/CommandLineSettings.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/CommandLineSettings.kt
@@ -3,12 +3,12 @@
 import io.bluebellramp.core.Address
 import kotlinx.serialization.Serializable
 
-/** Settings of the command line. Options go before them. */
+/** Settings of the command line tool. Command line options override them. */
 @Serializable
 data class CommandLineSettings(
-    /** Where the control processes listen. */
+    /** Addresses of the control processes. */
     val controls: List<Address> = emptyList(),
-    /** Where the entries listen. */
+    /** Addresses of the entries. */
     val entries: List<Address> = emptyList(),
     /** File with the shared secret. */
     val keyFile: String? = null,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Configuration.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Configuration.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** The base file that operators edit. A site overlay is a JSON merge patch on it. */
+/** The base file that operators edit. The overlay of a site is a JSON merge patch to it. */
 @Serializable
 data class Configuration(
     /** Services by id. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ConfigurationView.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ConfigurationView.kt
@@ -6,7 +6,7 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.JsonObject
 
-/** The configuration that is accepted. */
+/** The accepted configuration. */
 @Serializable
 data class ConfigurationView(
     val revision: Revision,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ControlSettings.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ControlSettings.kt
@@ -11,27 +11,27 @@
     val member: MemberId,
     val zone: ZoneId,
     val listen: Address,
-    /** Folder of the log and snapshots. */
+    /** Folder for the replicated log and the snapshots. */
     val dataFolder: String,
-    /** The first members of the cluster. Ignored once the data folder holds a membership. */
+    /** The initial members of the cluster. Ignored once the data folder contains a membership. */
     val members: List<MemberAddress>,
     val advertised: Address? = null,
-    /** True to send to other members from the IP number that the process listens on. */
+    /** True to connect to other members from the IP address on which the process listens. */
     val bindOutgoing: Boolean = false,
-    /** True for a member that starts empty and waits to be added. */
+    /** True for a new member without data that waits to be added to the cluster. */
     val joining: Boolean = false,
-    /** How long a permit is good for (ms). */
+    /** How long a permit is valid (ms). */
     val permitLifeMillis: Long = 2000,
-    /** Shortest time without a leader before an election (ms). */
+    /** Minimum election timeout (ms). */
     val electionMillis: Long = 400,
-    /** Time between heartbeats of the leader (ms). */
+    /** Interval between heartbeats of the leader (ms). */
     val heartbeatMillis: Long = 125,
-    /** Records in the log that trigger a snapshot. */
+    /** Number of records in the log that triggers a snapshot. */
     val snapshotRecords: Int = 2000,
-    /** Claims that the process holds at most. Beyond that it grants no new submission. */
+    /** Maximum number of claims that the process holds. Beyond it no claim for a new submission is granted. */
     val mostClaims: Int = 700000,
-    /** File with the shared secret. Absent switches authentication off which is possible on loopback only. */
+    /** File with the shared secret. If absent, authentication is disabled, which is allowed on loopback only. */
     val keyFile: String? = null,
-    /** Folder for the log file. Absent logs to the console. */
+    /** Folder for the log file. If absent, the log goes to the console. */
     val logFolder: String? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Credits.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Credits.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** A number of credits added or returned. */
+/** A number of credits that are granted or returned. */
 @Serializable
 data class Credits(
     /** Credits for tasks. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Demand.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Demand.kt
@@ -2,13 +2,13 @@
 
 import kotlinx.serialization.Serializable
 
-/** What waits at an entry for the service of the agent's target. */
+/** The queued work at an entry for the service of the target. */
 @Serializable
 data class Demand(
-    /** Tasks that wait. */
+    /** Number of queued tasks. */
     val tasks: Int,
-    /** Tasks left of the best waiting job. */
+    /** Number of unfinished tasks of the best waiting job. It is 0 if none waits. */
     val tasksLeft: Int,
-    /** Requests that wait. */
+    /** Number of queued requests. */
     val requests: Int = 0,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/DispatchFrame.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/DispatchFrame.kt
@@ -3,13 +3,13 @@
 import io.bluebellramp.core.JobId
 import kotlinx.serialization.Serializable
 
-/** A frame from an entry to an agent. An empty one keeps the link alive. */
+/** A frame from an entry to an agent. An empty frame keeps the connection alive. */
 @Serializable
 data class DispatchFrame(
     val hello: ProcessHello? = null,
     val dispatches: List<StepDispatch> = emptyList(),
-    /** Jobs whose tasks end at once. */
+    /** Jobs whose tasks must be stopped immediately. */
     val stops: List<JobId> = emptyList(),
-    /** Jobs that are cancelled whichever entry owns them. */
+    /** Jobs to cancel regardless of which entry owns them. */
     val cancels: List<JobId> = emptyList(),
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/DispatchKind.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/DispatchKind.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** A task takes a slot; a request takes a connection. */
+/** The kind of work. A task uses a slot and a request uses a connection. */
 @Serializable
 enum class DispatchKind {
     @SerialName("task")
--- a/messages/src/main/kotlin/io/bluebellramp/messages/EntryFrame.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/EntryFrame.kt
@@ -2,19 +2,19 @@
 
 import kotlinx.serialization.Serializable
 
-/** What an entry sends to an agent. */
+/** A frame from an entry to an agent. */
 @Serializable
 data class EntryFrame(
     val hello: EntryHello? = null,
     val permit: Permit? = null,
     val demand: Demand? = null,
     val returned: Credits? = null,
-    /** Work against credits. */
+    /** Attempts to run. Each uses one credit. */
     val dispatches: List<Dispatch> = emptyList(),
-    /** Attempts that must not start any more. The agent answers each with an outcome. */
+    /** Attempts that must not start any more. The agent reports an outcome for each. */
     val cancels: List<TaskReference> = emptyList(),
-    /** Attempts whose outcome the entry lacks after a broken connection. One that is not in the ledger is fenced and answered not run. */
+    /** Attempts whose outcome the entry does not know after a lost connection. An attempt that is not in the ledger of the agent is fenced and reported as not run. */
     val inquiries: List<TaskReference> = emptyList(),
-    /** Outcomes received on this connection in all. The agent forgets their results. */
+    /** Total number of outcomes received on this connection. The agent may discard their results. */
     val received: Long? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/EntrySettings.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/EntrySettings.kt
@@ -13,16 +13,16 @@
     val site: SiteId,
     val zone: ZoneId,
     val listen: Address,
-    /** Where the control processes listen. */
+    /** Addresses of the control processes. */
     val controls: List<Address>,
-    /** Most tasks that wait in this process. */
+    /** Maximum number of tasks in the queues of this process. */
     val queuedTasks: Int = 200000,
-    /** Time between turning not ready and refusing new work on shutdown (ms). */
+    /** Time on shutdown between reporting not ready and refusing new work (ms). */
     val drainMillis: Long = 1500,
-    /** Largest request body (bytes). */
+    /** Maximum size of a request body (bytes). */
     val bodyBytes: Long = 4194304,
-    /** File with the shared secret. Absent switches authentication off which is possible on loopback only. */
+    /** File with the shared secret. If absent, authentication is disabled, which is allowed on loopback only. */
     val keyFile: String? = null,
-    /** Folder for the log file. Absent logs to the console. */
+    /** Folder for the log file. If absent, the log goes to the console. */
     val logFolder: String? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/EntryStatus.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/EntryStatus.kt
@@ -13,7 +13,7 @@
     val address: Address,
     val zone: ZoneId,
     val oldestPermit: Revision,
-    /** Agents linked to the entry. */
+    /** Number of agents connected to the entry. */
     val agents: Int,
     /** Time since its last lease request (ms). */
     val silentMillis: Long = 0,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ErrorBody.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ErrorBody.kt
@@ -6,7 +6,7 @@
 @Serializable
 data class ErrorBody(
     val code: ErrorCode,
-    /** One sentence for people. */
+    /** Explanation for people in one sentence. */
     val message: String,
     /** Each violation of the schema or of a limit. */
     val violations: List<Violation> = emptyList(),
--- a/messages/src/main/kotlin/io/bluebellramp/messages/JobSubmission.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/JobSubmission.kt
@@ -10,11 +10,11 @@
 data class JobSubmission(
     val submission: SubmissionId,
     val service: ServiceId,
-    /** The tasks in the order of the results. */
+    /** The tasks. The results have the same order. */
     val tasks: List<TaskSpecification>,
     val team: TeamId? = null,
-    /** Time from arrival after which the answer is of no use (ms). */
+    /** Time from arrival after which the caller no longer needs the answer (ms). */
     val deadlineMillis: Long? = null,
-    /** True if a task may run twice without harm. */
+    /** True if tasks may run more than once without harm. */
     val idempotent: Boolean = false,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/LeaseRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/LeaseRequest.kt
@@ -8,7 +8,7 @@
 import io.bluebellramp.core.ZoneId
 import kotlinx.serialization.Serializable
 
-/** An entry asks the leader for the right to pass on permits. */
+/** The request of an entry to the leader for a lease. The lease allows the entry to issue permits. */
 @Serializable
 data class LeaseRequest(
     val entry: EntryId,
@@ -18,9 +18,9 @@
     val zone: ZoneId,
     val revision: Revision,
     val oldestPermit: Revision,
-    /** Agents linked to the entry. */
+    /** Number of agents connected to the entry. */
     val agents: Int,
-    /** How long the leader may hold the call until the revision changes (ms). */
+    /** How long the leader may delay the response while the revision does not change (ms). */
     val waitMillis: Long = 0,
     /** True when the entry shuts down. */
     val leaving: Boolean = false,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/LogRecord.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/LogRecord.kt
@@ -5,9 +5,9 @@
 /** One record of the log. */
 @Serializable
 data class LogRecord(
-    /** Place in the log from 1. */
+    /** Position in the log. The first is 1. */
     val index: Long,
-    /** Term of the leader that made it. */
+    /** Term of the leader that created the record. */
     val term: Long,
     val kind: RecordKind,
     /** JSON text of the command or the membership. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/MemberAddress.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/MemberAddress.kt
@@ -4,7 +4,7 @@
 import io.bluebellramp.core.MemberId
 import kotlinx.serialization.Serializable
 
-/** A control process and where it listens. */
+/** A control process and its address. */
 @Serializable
 data class MemberAddress(
     val member: MemberId,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/MemberCall.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/MemberCall.kt
@@ -3,10 +3,10 @@
 import io.bluebellramp.core.MemberId
 import kotlinx.serialization.Serializable
 
-/** A message of the replicated log. */
+/** A call of the replication protocol to one member. */
 @Serializable
 data class MemberCall(
-    /** Number of the call on its link. */
+    /** Number of the call on its connection. */
     val id: Long,
     val to: MemberId,
     val vote: VoteRequest? = null,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/MemberReply.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/MemberReply.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** The answer to a MemberCall. Without a body the member did not answer. */
+/** The reply to a MemberCall. A reply without a body means that the member did not answer. */
 @Serializable
 data class MemberReply(
     /** Number of the call. */
--- a/messages/src/main/kotlin/io/bluebellramp/messages/MemberStatus.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/MemberStatus.kt
@@ -11,6 +11,6 @@
     val address: Address,
     /** False for a learner. */
     val voting: Boolean,
-    /** Last index that the leader knows to be synced there. */
+    /** Last index that the leader knows to be synced to disk at the member. */
     val matchIndex: Long? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Membership.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Membership.kt
@@ -6,12 +6,12 @@
 /** The members of the control cluster as of an index. */
 @Serializable
 data class Membership(
-    /** Index of the record that made it. */
+    /** Index of the record that set the membership. */
     val index: Long,
-    /** Members that vote. */
+    /** Voting members. */
     val voters: List<MemberAddress>,
-    /** Members that only receive. */
+    /** Members that receive the log but do not vote. */
     val learners: List<MemberAddress>,
-    /** Ids that never come back. */
+    /** Ids of removed members. They must not be used again. */
     val retired: List<MemberId>,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/MembershipAction.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/MembershipAction.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What to do with a member. One that is to learn gets the log and does not vote. */
+/** The action on a member. Learn adds a member that receives the log but does not vote. */
 @Serializable
 enum class MembershipAction {
     @SerialName("add")
--- a/messages/src/main/kotlin/io/bluebellramp/messages/NodeSettings.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/NodeSettings.kt
@@ -4,40 +4,40 @@
 import io.bluebellramp.core.ZoneId
 import kotlinx.serialization.Serializable
 
-/** Settings of a process that finds the others from seeds. */
+/** Settings of a process that discovers the others through seed addresses. */
 @Serializable
 data class NodeSettings(
     /** Name of the VM. */
     val node: String,
     val zone: ZoneId,
-    /** IP number of the VM. */
+    /** IP address of the VM. */
     val host: String,
-    /** Operators' addresses of some control processes. Ports are the same on all VMs. */
+    /** Operator addresses of some control processes. The ports are the same on all VMs. */
     val seeds: List<Address>,
-    /** First port for links between processes. */
+    /** First port for connections between processes. */
     val firstPort: Int,
-    /** Last port for links between processes. */
+    /** Last port for connections between processes. */
     val lastPort: Int,
     /** All availability zones of the deployment. */
     val zones: List<ZoneId> = emptyList(),
-    /** Where callers connect. Empty if the process serves none. */
+    /** Address for callers. Empty if the process serves none. */
     val callers: String = "",
-    /** Where readiness is asked for. Empty if the process has none. */
+    /** Address of the readiness check. Empty if the process has none. */
     val readiness: String = "",
-    /** Where operators or the target of this VM connect. Empty if the process serves none. */
+    /** Address for operators or for the target of this VM. Empty if the process serves none. */
     val operators: String = "",
-    /** Where the target of this VM accepts calls. Empty if there is none. */
+    /** Address at which the target of this VM accepts calls. Empty if there is none. */
     val target: String = "",
-    /** Where metrics are served. Empty serves none. */
+    /** Address of the metrics. Empty if the process serves none. */
     val metrics: String = "",
-    /** Folder of the log and snapshots of a control process. */
+    /** Folder for the replicated log and the snapshots of a control process. */
     val dataFolder: String = "",
     /** True only when the whole system starts for the first time. */
     val founding: Boolean = false,
-    /** Control processes that may be lost with their disks at the same moment. */
+    /** Number of control processes that may be lost with their disks at the same time. */
     val toleratedLosses: Int = 1,
     /** Time from SIGTERM until the process is killed (s). */
     val stopSeconds: Double = 6.0,
-    /** Longest lease that a target grants (ms). */
+    /** Maximum duration of a lease that a target grants (ms). */
     val longestLeaseMillis: Long = 1000,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/PendingBody.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/PendingBody.kt
@@ -3,12 +3,12 @@
 import io.bluebellramp.core.SubmissionId
 import kotlinx.serialization.Serializable
 
-/** Tells a caller that its submission has no answer yet. */
+/** The response to a caller whose submission has no final answer yet. */
 @Serializable
 data class PendingBody(
     val submission: SubmissionId,
-    /** Tasks of the submission. Absent if the entry that owns it does not say. */
+    /** Number of tasks in the submission. Absent if the entry that owns it did not report it. */
     val tasks: Int? = null,
-    /** Tasks of which the result has come. Absent if the entry that owns it does not say. */
+    /** Number of tasks whose result has arrived. Absent if the entry that owns the submission did not report it. */
     val tasksDone: Int? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/PermitRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/PermitRequest.kt
@@ -3,10 +3,10 @@
 import io.bluebellramp.core.Revision
 import kotlinx.serialization.Serializable
 
-/** An agent asks for a permit. */
+/** The request of an agent for a permit. */
 @Serializable
 data class PermitRequest(
-    /** Number of the request, from which the agent knows when it sent it. */
+    /** Number of the request. The agent uses it to look up when it sent the request. */
     val sequence: Long,
     val revision: Revision,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ProcessHello.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ProcessHello.kt
@@ -5,10 +5,10 @@
 import io.bluebellramp.core.ZoneId
 import kotlinx.serialization.Serializable
 
-/** First frame of a process on a link. */
+/** The first frame of a process on a connection. */
 @Serializable
 data class ProcessHello(
-    /** Name of its VM. */
+    /** Name of the VM of the process. */
     val node: String,
     val role: ProcessRole,
     val incarnation: IncarnationId,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ProcessRole.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ProcessRole.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a process does. */
+/** The role of a process. */
 @Serializable
 enum class ProcessRole {
     @SerialName("control")
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Queue.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Queue.kt
@@ -3,23 +3,23 @@
 import io.bluebellramp.core.ServiceId
 import kotlinx.serialization.Serializable
 
-/** Where callers hand in jobs for a service. */
+/** A queue to which callers submit jobs for a service. */
 @Serializable
 data class Queue(
     val name: String,
     /** Value of the Host header. */
     val host: String,
-    /** Start of the path. */
+    /** Prefix of the path. */
     val prefix: String,
     val service: ServiceId,
-    /** 0 goes first. */
+    /** Priority of the queue. 0 is the highest. */
     val priority: Int = 0,
-    /** Failed runs after which a task has failed. */
+    /** Number of failed runs after which a task has failed. */
     val attempts: Int = 1,
-    /** Share of the run time that an answer may take and still be in time. */
+    /** Factor on the run time in the time objective of a job. The allowance is added to the product. */
     val stretch: Double = 1.0,
-    /** Time on top of the stretched run time (ms). */
+    /** Time that is added to the product of stretch and run time (ms). */
     val allowanceMillis: Long = 0,
-    /** Longest time for an answer (ms). 0 sets no bound. */
+    /** Maximum time until the answer (ms). 0 means no limit. */
     val callMillis: Long = 0,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/QueueWork.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/QueueWork.kt
@@ -2,10 +2,10 @@
 
 import kotlinx.serialization.Serializable
 
-/** Work that waits for room at one agent. */
+/** Work that waits for free capacity at one agent. */
 @Serializable
 data class QueueWork(
     val queue: String,
-    /** Thousandths of a core times ms. */
+    /** Amount of work (thousandths of a core times ms). */
     val work: Long,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/RecordKind.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/RecordKind.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** What a record carries. */
+/** The kind of a log record. */
 @Serializable
 enum class RecordKind {
     @SerialName("command")
--- a/messages/src/main/kotlin/io/bluebellramp/messages/RelayRoute.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/RelayRoute.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.core.Address
 import kotlinx.serialization.Serializable
 
-/** One address at which the relay stands in for a process. */
+/** One address on which the relay listens for a process. */
 @Serializable
 data class RelayRoute(
     val listen: Address,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/ReportFrame.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/ReportFrame.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** A frame from an agent to an entry. An empty one keeps the link alive. */
+/** A frame from an agent to an entry. An empty frame keeps the connection alive. */
 @Serializable
 data class ReportFrame(
     val hello: ProcessHello? = null,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/RequestSubmission.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/RequestSubmission.kt
@@ -5,7 +5,7 @@
 import io.bluebellramp.core.TeamId
 import kotlinx.serialization.Serializable
 
-/** A single request that takes a connection of a target and no slot. */
+/** A single request. It uses a connection of a target instead of a slot. */
 @Serializable
 data class RequestSubmission(
     val submission: SubmissionId,
@@ -13,8 +13,8 @@
     /** Opaque text for the target. */
     val payload: String,
     val team: TeamId? = null,
-    /** Time from arrival after which the answer is of no use (ms). */
+    /** Time from arrival after which the caller no longer needs the answer (ms). */
     val deadlineMillis: Long? = null,
-    /** True if the request may run twice without harm. */
+    /** True if the request may run more than once without harm. */
     val idempotent: Boolean = false,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/SampleTargetSettings.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/SampleTargetSettings.kt
@@ -12,8 +12,8 @@
     val service: ServiceId,
     val listen: Address,
     val agent: Address,
-    /** File that gets one line for each start. */
+    /** File to which one line is appended for each start of a task. */
     val startsFile: String? = null,
-    /** Folder for the log file. Absent logs to the console. */
+    /** Folder for the log file. If absent, the log goes to the console. */
     val logFolder: String? = null,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Service.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Service.kt
@@ -2,23 +2,23 @@
 
 import kotlinx.serialization.Serializable
 
-/** A service and the limits of each of its executors. */
+/** A service and the limits for each of its executors. */
 @Serializable
 data class Service(
-    /** Tasks that an executor runs at once. */
+    /** Maximum number of tasks that an executor runs at the same time. */
     val slots: Int = 8,
-    /** Requests that an executor serves at once. */
+    /** Maximum number of requests that an executor serves at the same time. */
     val connections: Int = 64,
-    /** Most tasks of one job. */
+    /** Maximum number of tasks in one job. */
     val jobTasks: Int = 1800,
-    /** Longest run time of one task (ms). */
+    /** Maximum run time of one task (ms). */
     val taskMillis: Long = 30000,
-    /** Deadline of a submission that names none (ms). */
+    /** Default deadline of a submission (ms). */
     val deadlineMillis: Long = 120000,
-    /** Memory of an executor. A task that declares more can never run. */
+    /** Memory of an executor (MB). A task that declares more can never run. */
     val memoryMegabytes: Int = 131072,
-    /** Retries of idempotent requests as a share of the requests. */
+    /** Maximum number of retries of idempotent requests as a fraction of all requests. */
     val retryShare: Double = 0.1,
-    /** Hedged idempotent requests as a share of the requests. */
+    /** Maximum number of hedged idempotent requests as a fraction of all requests. */
     val hedgeShare: Double = 0.0,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/SnapshotRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/SnapshotRequest.kt
@@ -15,9 +15,9 @@
     /** Term of that index. */
     val lastTerm: Long,
     val membership: Membership,
-    /** Place of the part in the snapshot (characters). */
+    /** Offset of the part in the snapshot (characters). */
     val offset: Int,
-    /** The part. */
+    /** The text of the part. */
     val body: String,
     /** True for the last part. */
     val last: Boolean,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/SnapshotResponse.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/SnapshotResponse.kt
@@ -2,15 +2,15 @@
 
 import kotlinx.serialization.Serializable
 
-/** What a member did with a part of a snapshot. */
+/** The response of a member to a part of a snapshot. */
 @Serializable
 data class SnapshotResponse(
     /** Term of the member. */
     val term: Long,
-    /** The round that it answers. */
+    /** Number of the round of the request. */
     val round: Long,
-    /** Where the next part starts (characters). */
+    /** Offset of the next part (characters). */
     val nextOffset: Int,
-    /** True once the whole snapshot is synced. */
+    /** True once the whole snapshot is synced to disk. */
     val installed: Boolean,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/StatusView.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/StatusView.kt
@@ -4,7 +4,7 @@
 import io.bluebellramp.core.Revision
 import kotlinx.serialization.Serializable
 
-/** What a control process knows of the system. */
+/** The state of the system as a control process knows it. */
 @Serializable
 data class StatusView(
     val member: MemberId,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TargetAnnouncement.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TargetAnnouncement.kt
@@ -5,7 +5,7 @@
 import io.bluebellramp.core.TargetId
 import kotlinx.serialization.Serializable
 
-/** A target tells its agent that it is there. */
+/** The announcement of a target to its agent. */
 @Serializable
 data class TargetAnnouncement(
     val target: TargetId,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TargetState.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TargetState.kt
@@ -4,11 +4,11 @@
 import io.bluebellramp.core.TargetId
 import kotlinx.serialization.Serializable
 
-/** The target beside the agent. */
+/** The state of the target of the agent. */
 @Serializable
 data class TargetState(
     val target: TargetId,
     val service: ServiceId,
-    /** False when the target has gone. */
+    /** False when the target is gone. */
     val present: Boolean,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TaskReference.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TaskReference.kt
@@ -9,6 +9,6 @@
     val submission: SubmissionId,
     /** Index of the task in its job. */
     val task: Int,
-    /** Number of the attempt from 0. */
+    /** Number of the attempt. The first is 0. */
     val attempt: Int,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TaskReport.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TaskReport.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.core.JobId
 import kotlinx.serialization.Serializable
 
-/** What became of a task at an agent. */
+/** An event of a task at an agent. */
 @Serializable
 data class TaskReport(
     val job: JobId,
@@ -11,8 +11,8 @@
     val task: Int,
     val attempt: Int,
     val event: TaskEvent,
-    /** Why it did not start or did not end well. */
+    /** Why the task did not start or did not end successfully. */
     val reason: String = "",
-    /** Time from the start order to the end (ms). */
+    /** Time from the start call to the end of the task (ms). */
     val ranMillis: Long = 0,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TaskResult.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TaskResult.kt
@@ -7,6 +7,6 @@
 data class TaskResult(
     /** The id that the caller gave the task. */
     val id: String,
-    /** The text that the target answered. */
+    /** The text that the target returned. */
     val result: String,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TaskSpecification.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TaskSpecification.kt
@@ -5,11 +5,11 @@
 /** One task of a job. */
 @Serializable
 data class TaskSpecification(
-    /** Unique in the job. */
+    /** Id of the task. It is unique in the job. */
     val id: String,
     /** Opaque text for the target. */
     val payload: String,
-    /** Expected run time (ms). A hint only. */
+    /** Expected run time (ms). It is only a hint. */
     val declaredMillis: Long? = null,
     /** Expected memory (MB). */
     val declaredMegabytes: Int? = null,
--- a/messages/src/main/kotlin/io/bluebellramp/messages/TaskStatus.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/TaskStatus.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.SerialName
 import kotlinx.serialization.Serializable
 
-/** Done ran to its end; error started and failed; not run proves that the attempt did not start and never will; unknown started or may have; running has started and goes on. */
+/** The status of an attempt. Done: ran to its end. Error: started and failed. Not run: certainly did not start and never will. Unknown: may have started. Running: started and has not ended. */
 @Serializable
 enum class TaskStatus {
     @SerialName("done")
--- a/messages/src/main/kotlin/io/bluebellramp/messages/Team.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/Team.kt
@@ -5,8 +5,8 @@
 /** The quota of a team. */
 @Serializable
 data class Team(
-    /** Tasks of the team that run at once across all entries. */
+    /** Maximum number of tasks of the team that run at the same time across all entries. */
     val runningTasks: Int = 100000,
-    /** Tasks of the team that wait in one entry. */
+    /** Maximum number of queued tasks of the team in one entry. */
     val queuedTasks: Int = 100000,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/VoteRequest.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/VoteRequest.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.core.MemberId
 import kotlinx.serialization.Serializable
 
-/** A member asks for a vote. */
+/** The request of a member for a vote. */
 @Serializable
 data class VoteRequest(
     /** Term of the election. */
@@ -13,8 +13,8 @@
     val lastIndex: Long,
     /** Term of that index. */
     val lastTerm: Long,
-    /** True for a trial that changes no state. */
+    /** True for a pre-vote. It changes no state. */
     val preVote: Boolean,
-    /** True if it asks for the founding stage only and for no vote. */
+    /** True if the request asks only for the founding stage and not for a vote. */
     val founding: Boolean = false,
 )
--- a/messages/src/main/kotlin/io/bluebellramp/messages/VoteResponse.kt
+++ b/messages/src/main/kotlin/io/bluebellramp/messages/VoteResponse.kt
@@ -7,8 +7,8 @@
 data class VoteResponse(
     /** Term of the member. */
     val term: Long,
-    /** True if it votes for the candidate. */
+    /** True if the member votes for the candidate. */
     val granted: Boolean,
-    /** Founding stage of the member. 0 is new; 1 knows that all others were new; 2 takes part. */
+    /** Founding stage of the member. 0: it is new. 1: it knows that all other members were new. 2: it is active. */
     val stage: Int = 0,
 )
