--- a/proofs/disk-lost-and-replaced.sh
+++ b/proofs/disk-lost-and-replaced.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The disk of a control VM is lost. Under its old id it takes no part; a new member replaces it; then another VM is lost.
-# Every accepted change is still there and a further one is accepted.
+# A control VM loses its disk. Restarted under its old id it takes no part; a new member replaces it; then a second VM is lost.
+# Every accepted change must still be present, and a further change must be accepted.
 source "$(dirname "$0")/lib.sh"
-begin
+start_ready_cluster
 lost=$(($(leader_number) % 3 + 1))
 CTL_WORDS=3 ctl target out target-1
 kill_process "control-$lost"
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,5 +1,6 @@
-# Functions that start and stop a local system of separate processes on loopback. Source this file.
-# Inputs: CLUSTER_FOLDER (emptied by cluster_prepare), CLUSTER_SITE (brekke or ogun), CLUSTER_PORT (first port).
+# Functions that start and stop a local cluster of separate processes on loopback. Source this file.
+# Inputs: CLUSTER_FOLDER (deleted and recreated by cluster_prepare), CLUSTER_SITE (brekke or ogun), CLUSTER_PORT (base of the port numbers),
+# CLUSTER_CONTROLS, CLUSTER_ENTRIES and CLUSTER_AGENTS (number of processes; each agent has one target).
 set -euo pipefail
 
 CLUSTER_ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -23,17 +24,17 @@
 target_address() { echo "127.0.0.1:$((CLUSTER_PORT + 400 + $1))"; }
 zone_of() { echo "${ZONES[$((($1 - 1) % ${#ZONES[@]}))]}"; }
 
-# addresses KIND COUNT: the addresses by comma. quoted KIND COUNT: the same as JSON strings.
-addresses() { local n out=; for ((n = 1; n <= $2; n++)); do out+="${out:+,}$("$1_address" "$n")"; done; echo "$out"; }
-quoted() { echo "\"$(addresses "$1" "$2" | sed 's/,/", "/g')\""; }
+# address_list KIND COUNT: the addresses, separated by commas. quoted_address_list KIND COUNT: the same as JSON strings.
+address_list() { local n out=; for ((n = 1; n <= $2; n++)); do out+="${out:+,}$("$1_address" "$n")"; done; echo "$out"; }
+quoted_address_list() { echo "\"$(address_list "$1" "$2" | sed 's/,/", "/g')\""; }
 
-CONTROLS=$(addresses control "$CLUSTER_CONTROLS")
-ENTRIES=$(addresses entry "$CLUSTER_ENTRIES")
+CONTROLS=$(address_list control "$CLUSTER_CONTROLS")
+ENTRIES=$(address_list entry "$CLUSTER_ENTRIES")
 ctl() { local words=(); while [ $# -gt 0 ] && [[ $1 != -* ]] && [ ${#words[@]} -lt "${CTL_WORDS:-2}" ]; do words+=("$1"); shift; done
   "$CLUSTER_ROOT/bin/bluebellrampctl" "${words[@]}" --control "$CONTROLS" --entry "$ENTRIES" "$@"; }
 
-# members_json [MEMBER ADDRESS]: the founding members.
-members_json() { local n out=; for ((n = 1; n <= CLUSTER_CONTROLS; n++)); do
+# founding_members_json: the founding members as a JSON array.
+founding_members_json() { local n out=; for ((n = 1; n <= CLUSTER_CONTROLS; n++)); do
   out+="${out:+, }{\"member\": \"control-$n\", \"address\": \"$(control_address "$n")\"}"; done; echo "[$out]"; }
 
 cluster_prepare() {
@@ -41,7 +42,7 @@
   mkdir -p "$CLUSTER_FOLDER"/{settings,log,starts,out}
 }
 
-# launch NAME PROGRAM SETTINGS: starts a program in the background and keeps its process id under NAME.
+# launch NAME PROGRAM SETTINGS: starts a program in the background and stores its process id in CLUSTER_PIDS under NAME.
 launch() {
   BLUEBELLRAMP_JAVA_OPTIONS="${BLUEBELLRAMP_JAVA_OPTIONS:--XX:ActiveProcessorCount=2 -XX:TieredStopAtLevel=1}" \
     "$CLUSTER_ROOT/bin/$2" --config "$3" >>"$CLUSTER_FOLDER/out/$1.txt" 2>&1 &
@@ -53,7 +54,7 @@
   cat >"$file" <<JSON
 {
   "member": "${2:-control-$1}", "zone": "$(zone_of "$1")", "listen": "$(control_address "$1")",
-  "dataFolder": "$CLUSTER_FOLDER/data/${2:-control-$1}", "members": $(members_json), "joining": ${3:-false},
+  "dataFolder": "$CLUSTER_FOLDER/data/${2:-control-$1}", "members": $(founding_members_json), "joining": ${3:-false},
   "logFolder": "$CLUSTER_FOLDER/log"
 }
 JSON
@@ -65,7 +66,7 @@
   cat >"$file" <<JSON
 {
   "entry": "entry-$1", "site": "$SITE", "zone": "$(zone_of "$1")", "listen": "$(entry_address "$1")",
-  "controls": [${ENTRY_CONTROLS:-$(quoted control "$CLUSTER_CONTROLS")}], "logFolder": "$CLUSTER_FOLDER/log"
+  "controls": [${ENTRY_CONTROLS:-$(quoted_address_list control "$CLUSTER_CONTROLS")}], "logFolder": "$CLUSTER_FOLDER/log"
 }
 JSON
   launch "entry-$1" bluebellramp-entry "$file"
@@ -76,7 +77,7 @@
   cat >"$file" <<JSON
 {
   "agent": "agent-$1", "site": "$SITE", "zone": "$(zone_of "$1")", "listen": "$(agent_address "$1")",
-  "entries": [$(quoted entry "$CLUSTER_ENTRIES")], "logFolder": "$CLUSTER_FOLDER/log"
+  "entries": [$(quoted_address_list entry "$CLUSTER_ENTRIES")], "logFolder": "$CLUSTER_FOLDER/log"
 }
 JSON
   launch "agent-$1" bluebellramp-agent "$file"
@@ -100,36 +101,36 @@
   for ((n = 1; n <= CLUSTER_AGENTS; n++)); do start_agent "$n"; start_target "$n"; done
 }
 
-# cluster_configure: makes the sample base file and overlay the configuration.
+# cluster_configure: applies the sample base file and overlay of the site as the configuration.
 cluster_configure() {
   local folder="$CLUSTER_ROOT/samples/config/$CLUSTER_SITE"
   ctl config apply --base "$folder/base.json" --overlay "$SITE=$folder/overlay-$SITE.json"
 }
 
-# wait_for SECONDS COMMAND...: repeats the command until it succeeds.
+# wait_for SECONDS COMMAND...: repeats the command until it succeeds, and fails after the timeout.
 wait_for() {
-  local until=$((SECONDS + $1))
+  local deadline=$((SECONDS + $1))
   shift
   until "$@" >/dev/null 2>&1; do
-    [ "$SECONDS" -lt "$until" ] || { echo "not true in time: $*" >&2; return 1; }
+    [ "$SECONDS" -lt "$deadline" ] || { echo "timed out waiting for: $*" >&2; return 1; }
     sleep 0.2
   done
 }
 
-# http_status HOST:PORT PATH: the status code of a GET.
+# http_status HOST:PORT PATH: prints the status code of a GET request.
 http_status() {
-  local host=${1%:*} port=${1##*:} line
+  local host=${1%:*} port=${1##*:} status_line
   exec 9<>"/dev/tcp/$host/$port" || return 1
   printf 'GET %s HTTP/1.0\r\nHost: %s\r\n\r\n' "$2" "$1" >&9
-  read -r line <&9
+  read -r status_line <&9
   exec 9>&- 9<&-
-  echo "$line" | cut -d' ' -f2
+  echo "$status_line" | cut -d' ' -f2
 }
 
 is_ready() { [ "$(http_status "$1" /ready 2>/dev/null)" = 200 ]; }
 
-# metric HOST:PORT NAME: the sum of a metric's values.
-metric() {
+# metric_sum HOST:PORT NAME: the sum of a metric over all its labels.
+metric_sum() {
   local host=${1%:*} port=${1##*:}
   exec 8<>"/dev/tcp/$host/$port" || return 1
   printf 'GET /metrics HTTP/1.0\r\nHost: %s\r\n\r\n' "$1" >&8
@@ -137,14 +138,14 @@
   exec 8>&- 8<&-
 }
 
-# agents_ready COUNT: true when every entry is linked to that many agents.
+# agents_ready COUNT: succeeds when every entry is connected to that many agents.
 agents_ready() {
   local listing
   listing=$(CTL_WORDS=1 ctl status) || return 1
   [ "$(grep -c "agents $1 " <<<"$listing")" = "$CLUSTER_ENTRIES" ]
 }
 
-signal() { kill "-$2" "${CLUSTER_PIDS[$1]}"; } # NAME SIGNAL
+send_signal() { kill "-$2" "${CLUSTER_PIDS[$1]}"; } # NAME SIGNAL
 kill_process() { kill -KILL "${CLUSTER_PIDS[$1]}" 2>/dev/null || true; wait "${CLUSTER_PIDS[$1]}" 2>/dev/null || true; unset "CLUSTER_PIDS[$1]"; }
 stop_process() { local code=0; kill -TERM "${CLUSTER_PIDS[$1]}"; wait "${CLUSTER_PIDS[$1]}" || code=$?; unset "CLUSTER_PIDS[$1]"; return $code; }
 
@@ -160,29 +161,30 @@
 
 starts_report() { "$CLUSTER_ROOT/bin/bluebellramp-bench" starts "$CLUSTER_FOLDER"/starts/*.txt; }
 
-# now_millis: the time of day (ms since the epoch).
+# now_millis: the current time (ms since the epoch).
 now_millis() { date +%s%3N; }
 
-# new_submission: a new submission id (UUID version 7).
-new_submission() {
+# new_submission_id: prints a new submission id (UUID version 7).
+new_submission_id() {
   local now
   now=$(now_millis)
   printf '%08x-%04x-7%03x-a%03x-%04x%04x%04x\n' $((now >> 16)) $((now & 65535)) $((RANDOM % 4096)) $((RANDOM % 4096)) $RANDOM $RANDOM $RANDOM
 }
 
-# answer_field FILE NAME: a field of an answer that was printed with --json.
+# answer_field FILE NAME: the first value of a field in an answer printed by bluebellrampctl --json.
 answer_field() { sed -n "s/^ *\"$2\": \"\{0,1\}\([^\",]*\)\"\{0,1\},*\$/\1/p" "$1" | head -1; }
 
-# submit_to ENTRIES ID TASKS PAYLOAD FILE: submits a job of equal tasks and keeps the answer in FILE.
-submit_to() {
+# submit_job ENTRIES ID TASKS PAYLOAD FILE: submits a job of TASKS tasks with the same payload and writes the answer to FILE.
+submit_job() {
   "$CLUSTER_ROOT/bin/bluebellrampctl" submit --entry "$1" --service "$SERVICE" --submission "$2" --tasks "$3" --payload "$4" --json >"$5" 2>"$5.err"
 }
 
-# starts_of ID: how many starts the targets recorded for a submission. starts_twice: how many attempts at tasks started again.
-starts_of() { cat "$CLUSTER_FOLDER"/starts/*.txt 2>/dev/null | grep -c "^$1 " || true; }
-starts_twice() { cat "$CLUSTER_FOLDER"/starts/*.txt 2>/dev/null | awk '{ print $1, $2 }' | sort | uniq -d | wc -l; }
+# start_count ID: the number of starts that the targets recorded for a submission.
+# duplicate_start_count: the number of attempts at tasks that started more than once.
+start_count() { cat "$CLUSTER_FOLDER"/starts/*.txt 2>/dev/null | grep -c "^$1 " || true; }
+duplicate_start_count() { cat "$CLUSTER_FOLDER"/starts/*.txt 2>/dev/null | awk '{ print $1, $2 }' | sort | uniq -d | wc -l; }
 
-# leader_number: the number of the control that leads.
+# leader_number: the number of the control that is the leader, or nothing.
 leader_number() { CTL_WORDS=1 ctl status | sed -n 's/^leader control-\([0-9]*\) .*/\1/p'; }
 has_leader() { [ -n "$(leader_number)" ]; }
-revision() { CTL_WORDS=1 ctl status | sed -n 's/^revision \([0-9]*\) .*/\1/p'; }
+current_revision() { CTL_WORDS=1 ctl status | sed -n 's/^revision \([0-9]*\) .*/\1/p'; }
--- a/scripts/measure-entry.sh
+++ b/scripts/measure-entry.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Measures one entry under rising rates of task starts: processor time a task, memory, response. The agents are stand-ins in one process.
-# Usage: scripts/measure-entry.sh RATE... (starts a second), one step for each on the same processes.
-# Inputs: the CLUSTER_ variables of cluster.sh (CLUSTER_AGENTS: stand-ins, default 470), LENGTH and WARM_UP (s), WIDTH (mean tasks of a
-# job), ENTRY_PROCESSORS (cores that the entry may use), ENTRY_OPTIONS (further options of the entry's JVM).
+# Measures one entry at each given rate of task starts: CPU time per task, memory and response times. One process simulates the agents.
+# Usage: scripts/measure-entry.sh RATE... (starts per second), one step for each on the same processes.
+# Inputs: the CLUSTER_ variables of cluster.sh (CLUSTER_AGENTS: simulated agents, default 470), LENGTH and WARM_UP (s), WIDTH (mean number
+# of tasks of a job), ENTRY_PROCESSORS (cores that the entry's JVM assumes, default 4), ENTRY_OPTIONS (additional options of the entry's JVM).
 export CLUSTER_CONTROLS=${CLUSTER_CONTROLS:-1} CLUSTER_ENTRIES=1 CLUSTER_AGENTS=${CLUSTER_AGENTS:-470}
 export CLUSTER_FOLDER=${CLUSTER_FOLDER:-$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)/run/measure-entry}
 export BLUEBELLRAMP_JAVA_OPTIONS="-XX:ActiveProcessorCount=${ENTRY_PROCESSORS:-4}"
@@ -11,27 +11,27 @@
 trap cluster_stop EXIT
 
 LENGTH=${LENGTH:-15} WARM_UP=${WARM_UP:-30} WIDTH=${WIDTH:-18}
-WARM_UP_RATE=1000
+WARM_UP_STARTS_PER_SECOND=1000
 SLOTS=$((CLUSTER_AGENTS * 8))
-# Mean run time of a task of the bench (s), and the factor on it: 0.23 s a task.
-MEAN_SECONDS=0.58425
+# Mean run time of a bench task before scaling, and the scale factor: 0.23 s per task.
+MEAN_TASK_SECONDS=0.58425
 TIME_SCALE=0.4
 
-# processor_seconds PID, resident_mb PID: from /proc.
-processor_seconds() { awk '{ print ($14 + $15) / 100 }' "/proc/$1/stat"; }
+# cpu_seconds PID, resident_mb PID: CPU time and resident memory of a process, from /proc.
+cpu_seconds() { awk '{ print ($14 + $15) / 100 }' "/proc/$1/stat"; }
 resident_mb() { awk '/VmRSS/ { print int($2 / 1024) }' "/proc/$1/status"; }
 
-# load RATE SECONDS: one load, its report on standard output.
-load() {
+# bench_load RATE SECONDS: runs the load tool and prints its report.
+bench_load() {
   "$CLUSTER_ROOT/bin/bluebellramp-bench" load --entry "http://$(entry_address 1)" --service "$SERVICE" --slots "$SLOTS" --seed 1 \
-    --load "$(awk "BEGIN { print $1 * $MEAN_SECONDS * $TIME_SCALE / $SLOTS }")" --seconds "$2" --width "$WIDTH" --time-scale "$TIME_SCALE"
+    --load "$(awk "BEGIN { print $1 * $MEAN_TASK_SECONDS * $TIME_SCALE / $SLOTS }")" --seconds "$2" --width "$WIDTH" --time-scale "$TIME_SCALE"
 }
 
-step() { # RATE
+run_step() { # RATE
   local before after tasks report="$CLUSTER_FOLDER/out/load-$1.txt"
-  before=$(processor_seconds "$entry")
-  load "$1" "$LENGTH" >"$report" 2>&1 || echo "the load ended with $?"
-  after=$(processor_seconds "$entry")
+  before=$(cpu_seconds "$entry")
+  bench_load "$1" "$LENGTH" >"$report" 2>&1 || echo "the load tool ended with exit code $?"
+  after=$(cpu_seconds "$entry")
   tasks=$(sed -n 's/^.* jobs, \([0-9]*\) tasks.*/\1/p' "$report")
   echo "== $1 starts/s for $LENGTH s, width $WIDTH: $tasks tasks, $(awk "BEGIN { printf \"%.3f\", ($after - $before) * 1000 / $tasks }") ms of the entry a task," \
     "$(resident_mb "$entry") MB resident, load average $(cut -d' ' -f1 /proc/loadavg)"
@@ -50,8 +50,8 @@
   "${zones[@]}" --tasks-as-told >"$CLUSTER_FOLDER/out/agents.txt" 2>&1 &
 CLUSTER_PIDS[agents]=$!
 wait_for 60 grep -q ", $CLUSTER_AGENTS of $CLUSTER_AGENTS permitted" "$CLUSTER_FOLDER/out/agents.txt"
-load "$WARM_UP_RATE" "$WARM_UP" >/dev/null || true
-for rate in "$@"; do step "$rate"; done
-stop_process agents || echo "the stand-ins ended with $?"
+bench_load "$WARM_UP_STARTS_PER_SECOND" "$WARM_UP" >/dev/null || true
+for rate in "$@"; do run_step "$rate"; done
+stop_process agents || echo "the simulated agents ended with exit code $?"
 grep -A3 '^starts:' "$CLUSTER_FOLDER/out/agents.txt"
 echo "best second: $(sed -n 's/^.* s: \([0-9]*\) starts.s.*/\1/p' "$CLUSTER_FOLDER/out/agents.txt" | sort -n | tail -1) starts"
--- a/scripts/measure-idle.sh
+++ b/scripts/measure-idle.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures the processor time of idle agents, by thread. Usage: scripts/measure-idle.sh [RECORDING]
-# With RECORDING agent 1 records its samples there by Java Flight Recorder and does not count.
-# Inputs: the CLUSTER_ variables of cluster.sh, WARM_UP and LENGTH (s), OTHER_LIB: libraries of the agents with even numbers, to compare.
+# Measures the CPU time of idle agents, by thread. Usage: scripts/measure-idle.sh [RECORDING]
+# With RECORDING, Java Flight Recorder profiles agent 1 into that file, and agent 1 is left out of the figures.
+# Inputs: the CLUSTER_ variables of cluster.sh, WARM_UP and LENGTH (s), OTHER_LIB: jar directory for agents with even numbers, to compare two builds.
 RECORDING=${1:-}
 export CLUSTER_ENTRIES=${CLUSTER_ENTRIES:-3}
 export CLUSTER_FOLDER=${CLUSTER_FOLDER:-$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)/run/measure-idle}
@@ -10,16 +10,16 @@
 trap cluster_stop EXIT
 WARM_UP=${WARM_UP:-12} LENGTH=${LENGTH:-25}
 
-eval "$(declare -f start_agent | sed '1s/start_agent/start_any_agent/')"
+eval "$(declare -f start_agent | sed '1s/start_agent/original_start_agent/')"
 start_agent() {
   if [ -n "${OTHER_LIB:-}" ] && [ $(($1 % 2)) = 0 ]; then
-    BLUEBELLRAMP_LIB=$OTHER_LIB start_any_agent "$1"
+    BLUEBELLRAMP_LIB=$OTHER_LIB original_start_agent "$1"
   else
-    start_any_agent "$1"
+    original_start_agent "$1"
   fi
 }
 
-# thread_ticks: a line of agent, thread and processor time (1/100 s) for each thread of each agent.
+# thread_ticks: prints a line of agent and thread id, thread name and CPU time (1/100 s) for each thread of each agent.
 thread_ticks() {
   local n pid file
   for ((n = 1; n <= CLUSTER_AGENTS; n++)); do
