--- a/bench/src/main/kotlin/io/bluebellramp/bench/BenchCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/BenchCommand.kt
@@ -4,13 +4,13 @@
 import kotlinx.cli.ExperimentalCli
 import kotlinx.cli.Subcommand
 
-/** One subcommand. */
+/** Base class of the subcommands. It maps a [UsageException] to the exit code for wrong usage. */
 @OptIn(ExperimentalCli::class)
 internal abstract class BenchCommand(
     name: String,
     summary: String,
 ) : Subcommand(name, summary) {
-    /** What the program exits with, once the command has run. */
+    /** Exit code of the program, valid after [execute]. */
     var exitCode: Int = ExitCode.OK
         private set
 
@@ -28,7 +28,7 @@
     protected abstract fun run(): Int
 }
 
-/** An argument is wrong. */
+/** A command line argument or an input file is invalid. */
 internal class UsageException(
     message: String,
 ) : Exception(message)
--- a/bench/src/main/kotlin/io/bluebellramp/bench/BenchSettings.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/BenchSettings.kt
@@ -10,7 +10,7 @@
 
 private val settingsReader = SettingsReader("CommandLineSettings", CommandLineSettings.serializer())
 
-/** Returns the entries that the settings [file] of the command line names. Throws [UsageException] with all its errors. */
+/** Returns the entry addresses listed in the settings [file]. Throws [UsageException] with all errors if the file is invalid. */
 internal fun configuredEntries(file: String?): List<Address> {
     if (file == null) throw UsageException("--entry or --config is required")
     return when (val result = settingsReader.read(Path.of(file))) {
@@ -19,7 +19,7 @@
     }
 }
 
-/** Checks the settings file that [args] name and prints all errors. Returns the exit code. */
+/** Validates the settings file given by `--config` in [args], prints all errors and returns the exit code. */
 internal fun checkSettings(args: List<String>): Int =
     try {
         val file = args.getOrNull(args.indexOf("--config") + 1).takeIf { "--config" in args }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/EntryCalls.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/EntryClient.kt
@@ -24,60 +24,60 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What came of a call to an entry. */
+/** Result of a call to an entry. */
 internal sealed interface CallResult {
-    /** The entry answered the submission. */
+    /** The entry returned an answer to the submission. */
     data class Answered(
         val answer: Answer,
     ) : CallResult
 
-    /** The entry refused the call. */
+    /** The entry rejected the call with an error. */
     data class Refused(
         val error: ErrorBody,
     ) : CallResult
 
-    /** No answer came, so the outcome is unknown. */
-    data class Broken(
+    /** The call failed or its response could not be decoded, so the outcome is unknown. */
+    data class NoAnswer(
         val reason: String,
     ) : CallResult
 }
 
-/** Calls the entries in turn and skips those that are not ready, as a balancer does. */
-internal class EntryCalls(
+/** HTTP client that calls the entries round-robin and skips those that are not ready, as a load balancer does. */
+internal class EntryClient(
     private val entries: List<String>,
 ) : AutoCloseable {
-    private val client = httpLink()
+    private val httpClient = httpLink()
     private val readinessClient = httpLink(connectTimeout = READINESS_TIMEOUT, timeout = READINESS_TIMEOUT)
-    private val turn = AtomicInteger()
+    private val nextIndex = AtomicInteger()
 
     @Volatile
-    private var ready = entries
+    private var readyEntries = entries
 
-    /** Checks the entries again and again until it is cancelled. */
-    suspend fun watch() {
+    /** Polls the readiness of the entries until it is cancelled. */
+    suspend fun pollReadiness() {
         while (true) {
             checkReadiness()
-            delay(READINESS_PERIOD)
+            delay(READINESS_POLL_PERIOD)
         }
     }
 
-    /** Asks each entry whether it is ready. While none is, all are called. */
+    /** Queries the readiness of each entry once. If none is ready, calls go to all of them. */
     suspend fun checkReadiness() =
         coroutineScope {
             val answers = entries.map { entry -> async { entry.takeIf { isReady(it) } } }.awaitAll()
-            ready = answers.filterNotNull().ifEmpty { entries }
+            readyEntries = answers.filterNotNull().ifEmpty { entries }
         }
 
-    suspend fun submit(job: JobSubmission): CallResult = answer { client.post("${next()}/v1/jobs") { json(job) } }
+    suspend fun submit(job: JobSubmission): CallResult = execute { httpClient.post("${nextEntry()}/v1/jobs") { json(job) } }
 
-    suspend fun submit(request: RequestSubmission): CallResult = answer { client.post("${next()}/v1/requests") { json(request) } }
+    suspend fun submit(request: RequestSubmission): CallResult = execute { httpClient.post("${nextEntry()}/v1/requests") { json(request) } }
 
-    suspend fun cancel(submission: SubmissionId): CallResult = answer { client.post("${next()}/v1/jobs/$submission/cancel") }
+    suspend fun cancel(submission: SubmissionId): CallResult = execute { httpClient.post("${nextEntry()}/v1/jobs/$submission/cancel") }
 
     /** Returns the metrics page at [url], or null if it cannot be read. */
     suspend fun metrics(url: String): String? =
         try {
-            client.get(url).bodyAsText()
+            httpClient.get(url).bodyAsText()
         } catch (e: CancellationException) {
             throw e
         } catch (_: Exception) {
@@ -85,7 +85,7 @@
         }
 
     override fun close() {
-        client.close()
+        httpClient.close()
         readinessClient.close()
     }
 
@@ -103,16 +103,16 @@
         setBody(WireJson.encodeToString(body))
     }
 
-    private fun next(): String = ready.let { it[Math.floorMod(turn.getAndIncrement(), it.size)] }
+    private fun nextEntry(): String = readyEntries.let { it[Math.floorMod(nextIndex.getAndIncrement(), it.size)] }
 
-    private suspend fun answer(call: suspend () -> HttpResponse): CallResult =
+    private suspend fun execute(call: suspend () -> HttpResponse): CallResult =
         try {
             val response = call()
             decode(response.status.value, response.bodyAsText())
         } catch (e: CancellationException) {
             throw e
         } catch (e: Exception) {
-            CallResult.Broken(e.javaClass.simpleName)
+            CallResult.NoAnswer(e.javaClass.simpleName)
         }
 
     private fun decode(
@@ -122,21 +122,21 @@
         try {
             CallResult.Answered(WireJson.decodeFromString<Answer>(body))
         } catch (_: SerializationException) {
-            refusal(status, body)
+            decodeRefusal(status, body)
         }
 
-    private fun refusal(
+    private fun decodeRefusal(
         status: Int,
         body: String,
     ): CallResult =
         try {
             CallResult.Refused(WireJson.decodeFromString<ErrorBody>(body))
         } catch (_: SerializationException) {
-            CallResult.Broken("status $status")
+            CallResult.NoAnswer("status $status")
         }
 
     private companion object {
-        val READINESS_PERIOD = 200.milliseconds
+        val READINESS_POLL_PERIOD = 200.milliseconds
         val READINESS_TIMEOUT = 500.milliseconds
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/FaultyTargetCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/FaultyTargetCommand.kt
@@ -26,7 +26,7 @@
 import kotlinx.cli.default
 import kotlinx.cli.required
 
-/** Relays between a sample target and its agent, and makes the target slow or fail everything. */
+/** Runs a proxy between a sample target and its agent that slows down or fails every task. */
 internal class FaultyTargetCommand : BenchCommand("faulty-target", "Relay to a sample target that becomes slow or fails every task") {
     private val listen by option(ArgType.String, "listen", description = "Address to listen on; the agent of the sample target").required()
     private val agent by option(ArgType.String, "agent", description = "Address of the agent").required()
@@ -45,12 +45,12 @@
     }
 }
 
-/** How the payload of a task is changed on its way to a sample target. */
+/** Fault that the proxy injects by rewriting the payload of each task. */
 internal sealed interface PayloadFault {
-    /** Returns what the target is asked for in place of [payload]. */
+    /** Returns the payload to send to the target instead of [payload]. */
     fun apply(payload: String): String
 
-    /** Every task fails after [millis]. */
+    /** Every task fails after [millis] milliseconds. */
     data class Failing(
         val millis: Int,
     ) : PayloadFault {
@@ -61,24 +61,24 @@
     data class Slow(
         val factor: Int,
     ) : PayloadFault {
-        override fun apply(payload: String) = SLEEP.replace(payload) { "sleep:${it.groupValues[1].toLong() * factor}" }
+        override fun apply(payload: String) = SLEEP_STEP.replace(payload) { "sleep:${it.groupValues[1].toLong() * factor}" }
     }
 
     private companion object {
-        val SLEEP = Regex("sleep:([0-9]+)")
+        val SLEEP_STEP = Regex("sleep:([0-9]+)")
     }
 }
 
-/** The relay at [listen] between the [agent] and a sample [target] that announces itself to the relay. */
+/** Proxy at [listen] between the [agent] and a sample [target]. The target announces itself to the proxy instead of the agent. */
 internal class FaultyTarget(
     private val listen: Address,
     private val agent: Address,
     private val target: Address,
     private val fault: PayloadFault,
 ) {
-    private val link = httpLink()
+    private val client = httpLink()
 
-    /** Serves until the process ends. */
+    /** Starts the server and blocks until it stops. */
     fun run() {
         httpServer(listen, AlwaysReady, PrometheusRegistry()) { routes() }.start(wait = true)
     }
@@ -86,25 +86,25 @@
     private fun Route.routes() {
         post("/run") {
             val task = call.receive<TargetCall>()
-            call.pass(post("http://$target/run", WireJson.encodeToString(task.copy(payload = fault.apply(task.payload)))))
+            call.forward(post("http://$target/run", WireJson.encodeToString(task.copy(payload = fault.apply(task.payload)))))
         }
         post("/v1/target") {
             val announcement = call.receive<TargetAnnouncement>()
-            call.pass(post("http://$agent/v1/target", WireJson.encodeToString(announcement.copy(address = listen))))
+            call.forward(post("http://$agent/v1/target", WireJson.encodeToString(announcement.copy(address = listen))))
         }
-        delete("/v1/target") { call.pass(link.delete("http://$agent/v1/target")) }
+        delete("/v1/target") { call.forward(client.delete("http://$agent/v1/target")) }
     }
 
     private suspend fun post(
         url: String,
         body: String,
     ): HttpResponse =
-        link.post(url) {
+        client.post(url) {
             contentType(ContentType.Application.Json)
             setBody(body)
         }
 
-    private suspend fun RoutingCall.pass(response: HttpResponse) =
+    private suspend fun RoutingCall.forward(response: HttpResponse) =
         respondText(response.bodyAsText(), ContentType.Application.Json, response.status)
 
     private object AlwaysReady : Health {
--- a/bench/src/main/kotlin/io/bluebellramp/bench/IdealSchedule.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/IdealSchedule.kt
@@ -4,92 +4,92 @@
 import java.util.TreeSet
 import kotlin.time.Duration
 
-/** The number of slots in service from [at] on. */
-internal data class SlotsFrom(
+/** Sets the number of slots in service to [slots] from [at] on. */
+internal data class SlotCountChange(
     val at: Duration,
     val slots: Int,
 )
 
 /**
- * The response of each job under a central scheduler that knows every run time and has no delay.
+ * Computes the response time of each job under a central scheduler that knows every run time and has no delay.
  *
- * It is the best, by mean response, of a few list schedules: fewest tasks left first, and least work left first, each with the
- * longest task of a job first.
+ * Two list schedules are simulated, and the one with the lower mean response time is used: fewest remaining tasks first, and
+ * least remaining work first. Both run the longest task of a job first.
  */
 internal object IdealSchedule {
-    private class Work(
+    private class PendingJob(
         val job: JobPlan,
     ) {
-        val waiting = ArrayDeque(job.tasks.sortedDescending())
-        var left = job.tasks.size
-        var work = job.work
+        val waitingTasks = ArrayDeque(job.tasks.sortedDescending())
+        var remainingTasks = job.tasks.size
+        var remainingWork = job.work
         var end = Duration.ZERO
     }
 
-    private class Running(
-        val work: Work,
-        val ran: Duration,
+    private class RunningTask(
+        val pendingJob: PendingJob,
+        val runTime: Duration,
         val end: Duration,
     )
 
-    private val orders: List<Comparator<Work>> =
+    private val jobOrders: List<Comparator<PendingJob>> =
         listOf(
-            compareBy({ it.left }, { it.job.index }),
-            compareBy({ it.work }, { it.job.index }),
+            compareBy({ it.remainingTasks }, { it.job.index }),
+            compareBy({ it.remainingWork }, { it.job.index }),
         )
 
-    /** Returns the response of each of [jobs] on [slots] slots, by index. */
+    /** Returns the response time of each of [jobs], by index, on a constant number of [slots]. */
     fun responses(
         jobs: List<JobPlan>,
         slots: Int,
-    ): List<Duration> = responses(jobs, listOf(SlotsFrom(at = Duration.ZERO, slots = slots)))
+    ): List<Duration> = responses(jobs, listOf(SlotCountChange(at = Duration.ZERO, slots = slots)))
 
-    /** Returns the response of each of [jobs] on slots whose number changes, by index. */
+    /** Returns the response time of each of [jobs], by index, while the number of slots changes as given by [slots]. */
     fun responses(
         jobs: List<JobPlan>,
-        slots: List<SlotsFrom>,
-    ): List<Duration> = orders.map { run(jobs, slots, it) }.minBy { it.fold(Duration.ZERO, Duration::plus) }
+        slots: List<SlotCountChange>,
+    ): List<Duration> = jobOrders.map { simulate(jobs, slots, it) }.minBy { it.fold(Duration.ZERO, Duration::plus) }
 
-    private fun run(
+    private fun simulate(
         jobs: List<JobPlan>,
-        slots: List<SlotsFrom>,
-        order: Comparator<Work>,
+        slots: List<SlotCountChange>,
+        order: Comparator<PendingJob>,
     ): List<Duration> {
-        val works = jobs.map { Work(it) }
-        val arrivals = ArrayDeque(works)
-        val waiting = TreeSet(order)
-        val running = PriorityQueue<Running>(compareBy { it.end })
-        val changes = ArrayDeque(slots)
-        var open = 0
-        while (arrivals.isNotEmpty() || running.isNotEmpty() || waiting.isNotEmpty()) {
-            val now = listOfNotNull(arrivals.firstOrNull()?.job?.at, running.peek()?.end, changes.firstOrNull()?.at).min()
-            while (changes.isNotEmpty() && changes.first().at <= now) open = changes.removeFirst().slots
-            while (running.isNotEmpty() && running.peek().end <= now) end(running.poll(), waiting)
-            while (arrivals.isNotEmpty() && arrivals.first().job.at <= now) waiting += arrivals.removeFirst()
-            while (running.size < open && waiting.isNotEmpty()) running += start(waiting.first(), waiting, now)
+        val pendingJobs = jobs.map { PendingJob(it) }
+        val arrivals = ArrayDeque(pendingJobs)
+        val waitingJobs = TreeSet(order)
+        val running = PriorityQueue<RunningTask>(compareBy { it.end })
+        val slotChanges = ArrayDeque(slots)
+        var slotCount = 0
+        while (arrivals.isNotEmpty() || running.isNotEmpty() || waitingJobs.isNotEmpty()) {
+            val now = listOfNotNull(arrivals.firstOrNull()?.job?.arrivesAt, running.peek()?.end, slotChanges.firstOrNull()?.at).min()
+            while (slotChanges.isNotEmpty() && slotChanges.first().at <= now) slotCount = slotChanges.removeFirst().slots
+            while (running.isNotEmpty() && running.peek().end <= now) endTask(running.poll(), waitingJobs)
+            while (arrivals.isNotEmpty() && arrivals.first().job.arrivesAt <= now) waitingJobs += arrivals.removeFirst()
+            while (running.size < slotCount && waitingJobs.isNotEmpty()) running += startTask(waitingJobs.first(), waitingJobs, now)
         }
-        return works.map { it.end - it.job.at }
+        return pendingJobs.map { it.end - it.job.arrivesAt }
     }
 
-    private fun start(
-        work: Work,
-        waiting: TreeSet<Work>,
+    private fun startTask(
+        pendingJob: PendingJob,
+        waitingJobs: TreeSet<PendingJob>,
         now: Duration,
-    ): Running {
-        val ran = work.waiting.removeFirst()
-        if (work.waiting.isEmpty()) waiting.remove(work)
-        return Running(work, ran, now + ran)
+    ): RunningTask {
+        val runTime = pendingJob.waitingTasks.removeFirst()
+        if (pendingJob.waitingTasks.isEmpty()) waitingJobs.remove(pendingJob)
+        return RunningTask(pendingJob, runTime, now + runTime)
     }
 
-    private fun end(
-        running: Running,
-        waiting: TreeSet<Work>,
+    private fun endTask(
+        running: RunningTask,
+        waitingJobs: TreeSet<PendingJob>,
     ) {
-        val work = running.work
-        val isWaiting = waiting.remove(work)
-        work.left--
-        work.work -= running.ran
-        work.end = maxOf(work.end, running.end)
-        if (isWaiting) waiting += work
+        val pendingJob = running.pendingJob
+        val isWaiting = waitingJobs.remove(pendingJob)
+        pendingJob.remainingTasks--
+        pendingJob.remainingWork -= running.runTime
+        pendingJob.end = maxOf(pendingJob.end, running.end)
+        if (isWaiting) waitingJobs += pendingJob
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/LoadCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/LoadCommand.kt
@@ -17,7 +17,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Puts an open-loop load on a running system and checks every answer. */
+/** Generates an open-loop load on a running system and checks every answer. */
 internal class LoadCommand : BenchCommand("load", "Load a running system and check every answer") {
     private val entries by option(ArgType.String, "entry", description = "URL of an entry; may be given again").multiple()
     private val config by option(ArgType.String, "config", description = "Settings file that names the entries; --entry goes first")
@@ -27,7 +27,7 @@
     private val seconds by option(ArgType.Int, "seconds", description = "Time over which jobs arrive (s)").default(30)
     private val seed by option(ArgType.Int, "seed", description = "Seed of the jobs").default(1)
     private val width by option(ArgType.Double, "width", description = "Mean number of tasks of a job").default(18.0)
-    private val widest by option(ArgType.Int, "widest", description = "Most tasks of a job").default(1800)
+    private val maxWidth by option(ArgType.Int, "widest", description = "Most tasks of a job").default(1800)
     private val timeScale by option(ArgType.Double, "time-scale", description = "Factor on every run time").default(1.0)
     private val burstEvery by option(ArgType.Int, "burst-every", description = "Time between bursts (s); 0 for none").default(0)
     private val burstJobs by option(ArgType.Int, "burst-jobs", description = "Jobs of a burst").default(10)
@@ -64,18 +64,18 @@
         "zone",
         description = "ZONE:SLOTS=FILE,FILE: slots and starts files of an availability zone; may be given again",
     ).multiple()
-    private val changes by option(
+    private val changesFile by option(
         ArgType.String,
         "changes",
         description = "File of lines MILLIS out|in ZONE, written when a change is accepted; read at the end",
     )
-    private val history by option(ArgType.String, "history", description = "File for one JSON line per submission")
+    private val historyFile by option(ArgType.String, "history", description = "File for one JSON line per submission")
     private val out by option(ArgType.String, "out", description = "File for the report (JSON)")
 
     override fun run(): Int {
         val settings = settings()
         val report = runBlocking(Dispatchers.Default) { LoadRun(settings, SystemClock).use { it.run() } }
-        println(report.wording())
+        println(report.summary())
         out?.let { Files.writeString(Path.of(it), ReportJson.encodeToString(LoadReport.serializer(), report)) }
         return when {
             report.wrong > 0 -> ExitCode.FAILED
@@ -100,19 +100,19 @@
             pids = pids,
             startsFiles = startsFiles.map { Path.of(it) },
             zones = zones.map { zone(it) },
-            changes = changes?.let { Path.of(it) },
-            history = history?.let { Path.of(it) },
+            changesFile = changesFile?.let { Path.of(it) },
+            historyFile = historyFile?.let { Path.of(it) },
         )
 
     private fun workload() =
         WorkloadSettings(
-            load = atLeast("load", load, 0.0),
-            slots = atLeast("slots", slots, 1),
-            length = atLeast("seconds", seconds, 1).seconds,
+            load = requireAtLeast("load", load, 0.0),
+            slots = requireAtLeast("slots", slots, 1),
+            length = requireAtLeast("seconds", seconds, 1).seconds,
             seed = seed.toLong(),
-            meanWidth = atLeast("width", width, 1.0),
-            widest = atLeast("widest", widest, 1),
-            timeScale = atLeast("time-scale", timeScale, 0.0),
+            meanWidth = requireAtLeast("width", width, 1.0),
+            maxWidth = requireAtLeast("widest", maxWidth, 1),
+            timeScale = requireAtLeast("time-scale", timeScale, 0.0),
             burstEvery = if (burstEvery > 0) burstEvery.seconds else null,
             burstJobs = burstJobs,
         )
@@ -129,31 +129,31 @@
         return ZoneTargets(ZoneId(zone), slots.toInt(), files.split(',').map { Path.of(it) })
     }
 
-    private fun <T : Comparable<T>> atLeast(
+    private fun <T : Comparable<T>> requireAtLeast(
         name: String,
         value: T,
-        least: T,
-    ): T = if (value >= least) value else throw UsageException("--$name must be at least $least")
+        minimum: T,
+    ): T = if (value >= minimum) value else throw UsageException("--$name must be at least $minimum")
 
     private companion object {
         val ZONE_OPTION = Regex("(.+):([0-9]+)=(.+)")
     }
 }
 
-/** Single requests beside the jobs. */
+/** Single requests that are sent in addition to the jobs. */
 internal data class RequestLoad(
     val perSecond: Double,
     val runTime: Duration,
     val idempotent: Boolean,
 )
 
-/** When part of the open jobs is cancelled, and how many. */
+/** Times at which a [share] of the open jobs is cancelled. */
 internal data class CancelWaves(
     val at: List<Duration>,
     val share: Double,
 )
 
-/** What a load run does. */
+/** Settings of a load run. */
 internal data class LoadSettings(
     val entries: List<String>,
     val service: ServiceId,
@@ -168,6 +168,6 @@
     val pids: List<Int>,
     val startsFiles: List<Path>,
     val zones: List<ZoneTargets>,
-    val changes: Path?,
-    val history: Path?,
+    val changesFile: Path?,
+    val historyFile: Path?,
 )
--- a/bench/src/main/kotlin/io/bluebellramp/bench/LoadRecords.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/LoadRecorder.kt
@@ -13,7 +13,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.DurationUnit
 
-/** One submission of a run, for the history file. Times are ms since the first arrival could come. */
+/** One submission of a run, written as a line of the history file. Times are in milliseconds since the start of the run. */
 @Serializable
 internal data class SubmissionRecord(
     val submission: SubmissionId,
@@ -27,16 +27,16 @@
     val fault: String?,
 )
 
-/** Collects what came of each submission. It may be used from several threads. */
-internal class LoadRecords(
+/** Records the result of each submission. Recording is thread-safe. */
+internal class LoadRecorder(
     private val settings: LoadSettings,
     private val plans: List<JobPlan>,
 ) {
     private val ideal = IdealSchedule.responses(plans, settings.workload.slots)
     private val records = ArrayList<SubmissionRecord>()
-    private val planOf = HashMap<SubmissionId, JobPlan>()
+    private val plansBySubmission = HashMap<SubmissionId, JobPlan>()
 
-    fun job(
+    fun recordJob(
         plan: JobPlan,
         job: JobSubmission,
         result: CallResult,
@@ -47,7 +47,7 @@
             submission = job.submission,
             kind = JOB,
             tasks = plan.tasks.size,
-            intendedMillis = plan.at.millis(),
+            intendedMillis = plan.arrivesAt.millis(),
             answeredMillis = now.millis(),
             idealMillis = ideal[plan.index].millis(),
             workMillis = plan.work.millis(),
@@ -56,7 +56,7 @@
         ),
     )
 
-    fun request(
+    fun recordRequest(
         request: RequestSubmission,
         result: CallResult,
         at: Duration,
@@ -76,19 +76,19 @@
         ),
     )
 
-    /** Returns the figures of the run, and writes its history. */
+    /** Returns the report of the run and writes the history file if one is configured. */
     fun report(
         startedAt: Instant,
         before: Scrape,
         after: Scrape,
     ): LoadReport {
-        settings.history?.let { file -> Files.write(file, records.map { Json.encodeToString(SubmissionRecord.serializer(), it) }) }
+        settings.historyFile?.let { file -> Files.write(file, records.map { Json.encodeToString(SubmissionRecord.serializer(), it) }) }
         val jobs = records.filter { it.kind == JOB }
         val requests = records.filter { it.kind == REQUEST }
         val complete = jobs.filter { it.outcome == COMPLETE }
         val tasks = plans.sumOf { it.tasks.size }
         val startsFiles = (settings.startsFiles + settings.zones.flatMap { it.startsFiles }).distinct()
-        val starts = if (startsFiles.isEmpty()) null else RunStarts(results(jobs), startsFiles, startedAt)
+        val starts = if (startsFiles.isEmpty()) null else RecordedStarts(results(jobs), startsFiles, startedAt)
         return LoadReport(
             load = settings.workload.load,
             slots = settings.workload.slots,
@@ -106,7 +106,7 @@
             responseMillis = Percentiles.of(complete.map { it.responseMillis() }),
             slowdown = Percentiles.of(complete.map { it.responseMillis() / it.idealMillis }),
             requestMillis = Percentiles.of(requests.filter { it.outcome == COMPLETE }.map { it.responseMillis() }),
-            workSeconds = complete.sumOf { it.workMillis } / MILLIS,
+            workSeconds = complete.sumOf { it.workMillis } / MILLIS_PER_SECOND,
             series = WorkSeries.of(complete, startedAt, startsFiles),
             marks = settings.marks,
             counters = after.growthSince(before, tasks),
@@ -117,18 +117,18 @@
 
     private fun results(jobs: List<SubmissionRecord>): Map<String, JobResult> =
         jobs.associate { job ->
-            val isNotRun = job.outcome.startsWith(AnswerOutcome.NOT_RUN.wording())
-            job.submission.value to JobResult(planOf.getValue(job.submission), job.answeredMillis.milliseconds, isNotRun)
+            val isNotRun = job.outcome.startsWith(AnswerOutcome.NOT_RUN.wireName())
+            job.submission.value to JobResult(plansBySubmission.getValue(job.submission), job.answeredMillis.milliseconds, isNotRun)
         }
 
     private fun zoneWork(
-        starts: RunStarts,
+        starts: RecordedStarts,
         startedAt: Instant,
     ): ZoneWorkReport? {
         if (settings.zones.isEmpty()) return null
-        val lines = settings.changes?.let { Files.readAllLines(it) }.orEmpty()
-        val changes = lines.mapNotNull { zoneChange(it, startedAt.toEpochMilli()) }
-        val work = ZoneWork(settings.zones.associate { it.zone to it.slots }, starts.tasks(settings.zones), changes)
+        val lines = settings.changesFile?.let { Files.readAllLines(it) }.orEmpty()
+        val changes = lines.mapNotNull { parseZoneChange(it, startedAt.toEpochMilli()) }
+        val work = ZoneWork(settings.zones.associate { it.zone to it.slots }, starts.taskExecutions(settings.zones), changes)
         return ZoneWorkReport(changes = work.changes(), slices = work.slices(settings.workload.length))
     }
 
@@ -137,7 +137,7 @@
         record: SubmissionRecord,
     ) = synchronized(records) {
         records += record
-        if (plan != null) planOf[record.submission] = plan
+        if (plan != null) plansBySubmission[record.submission] = plan
     }
 
     private fun SubmissionRecord.responseMillis() = answeredMillis - intendedMillis
@@ -149,7 +149,7 @@
         when (result) {
             is CallResult.Answered -> {
                 listOfNotNull(
-                    result.answer.outcome.wording(),
+                    result.answer.outcome.wireName(),
                     result.answer.error
                         ?.code
                         ?.name
@@ -161,12 +161,12 @@
                 "refused ${result.error.code.name.lowercase()}"
             }
 
-            is CallResult.Broken -> {
+            is CallResult.NoAnswer -> {
                 "broken ${result.reason}"
             }
         }
 
-    private fun AnswerOutcome.wording() = name.lowercase()
+    private fun AnswerOutcome.wireName() = name.lowercase()
 
     private fun fault(
         result: CallResult,
@@ -179,6 +179,6 @@
         const val JOB = "job"
         const val REQUEST = "request"
         const val COMPLETE = "complete"
-        const val MILLIS = 1000.0
+        const val MILLIS_PER_SECOND = 1000.0
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/LoadReport.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/LoadReport.kt
@@ -3,28 +3,28 @@
 import kotlinx.serialization.Serializable
 import kotlinx.serialization.json.Json
 
-/** JSON of the reports. */
+/** JSON format of the reports. */
 internal val ReportJson =
     Json {
         prettyPrint = true
         encodeDefaults = true
     }
 
-/** Something that was done to the system during a run. */
+/** Event that the operator noted for a run, such as the stop of a process. */
 @Serializable
 internal data class Mark(
     val second: Int,
     val text: String,
 )
 
-/** How many submissions ended with [reason]. */
+/** Number of submissions that ended with [reason]. */
 @Serializable
 internal data class OutcomeCount(
     val reason: String,
     val submissions: Int,
 )
 
-/** What was done in one second of a run. Tasks and their run time count when their job is answered. */
+/** Work done in one second of a run. Tasks and their run time are counted in the second in which their job is answered. */
 @Serializable
 internal data class SecondOfWork(
     val second: Int,
@@ -33,7 +33,7 @@
     val starts: Int,
 )
 
-/** How a counter of a process grew during a run. */
+/** Increase of a counter of a process during a run. */
 @Serializable
 internal data class CounterGrowth(
     val process: String,
@@ -42,7 +42,7 @@
     val perTask: Double,
 )
 
-/** The figures of a load run. */
+/** Results of a load run. */
 @Serializable
 internal data class LoadReport(
     val load: Double,
@@ -54,39 +54,39 @@
     val requests: Int,
     val jobOutcomes: List<OutcomeCount>,
     val requestOutcomes: List<OutcomeCount>,
-    /** Answers that were not the whole answer to their own submission. */
+    /** Number of answers that were incomplete or did not belong to their submission. */
     val wrong: Int,
     val firstWrong: String?,
     /** Time from the intended arrival to the answer of complete jobs (ms). */
     val responseMillis: Percentiles,
-    /** Response over the ideal response of complete jobs. */
+    /** Response time of complete jobs divided by their ideal response time, see [IdealSchedule]. */
     val slowdown: Percentiles,
     /** Time from the intended arrival to the answer of complete requests (ms). */
     val requestMillis: Percentiles,
-    /** Run time of the tasks of complete jobs (s). */
+    /** Total run time of the tasks of complete jobs (s). */
     val workSeconds: Double,
     val series: List<SecondOfWork>,
     val marks: List<Mark>,
     val counters: List<CounterGrowth>,
-    /** What the starts files tell, or null if none was given. */
+    /** Counts from the starts files, or null if none was given. */
     val starts: StartsReport? = null,
-    /** Work done while zones left and returned, or null if no zone was given. */
+    /** Work done while zones went out of and back into service, or null if no zone was given. */
     val zoneWork: ZoneWorkReport? = null,
 ) {
-    /** The report in a few lines. */
-    fun wording(): String =
+    /** Returns the report as a few lines of text. */
+    fun summary(): String =
         listOfNotNull(
             "load $load on $slots slots for $seconds s, seed $seed: $jobs jobs, $tasks tasks, $requests requests",
-            "jobs: ${jobOutcomes.wording()}; requests: ${requestOutcomes.wording()}; wrong answers: $wrong${firstWrong?.let {
+            "jobs: ${jobOutcomes.summary()}; requests: ${requestOutcomes.summary()}; wrong answers: $wrong${firstWrong?.let {
                 " ($it)"
             } ?: ""}",
-            "response (ms): ${responseMillis.wording()}",
-            "slowdown against the ideal: ${slowdown.wording()}",
-            "requests (ms): ${requestMillis.wording()}",
+            "response (ms): ${responseMillis.summary()}",
+            "slowdown against the ideal: ${slowdown.summary()}",
+            "requests (ms): ${requestMillis.summary()}",
             "work done: %.1f s of run time, %.1f slots busy on the mean".format(workSeconds, workSeconds / seconds),
-            starts?.wording(),
-            zoneWork?.wording(),
+            starts?.summary(),
+            zoneWork?.summary(),
         ).joinToString("\n")
 
-    private fun List<OutcomeCount>.wording() = joinToString { "${it.submissions} ${it.reason}" }.ifEmpty { "none" }
+    private fun List<OutcomeCount>.summary() = joinToString { "${it.submissions} ${it.reason}" }.ifEmpty { "none" }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/LoadRun.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/LoadRun.kt
@@ -17,68 +17,68 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * One run of an open-loop load.
+ * One run of an open-loop load test.
  *
- * Each submission is sent at its intended time whatever became of the others, and its response counts from that time, so a
- * stalled system cannot hide its delay.
+ * Each submission is sent at its intended time, whether or not earlier ones were answered. Response times are measured from the
+ * intended time, so the delay of a stalled system is not hidden (coordinated omission).
  */
 internal class LoadRun(
     private val settings: LoadSettings,
     private val clock: Clock,
 ) : AutoCloseable {
-    private val calls = EntryCalls(settings.entries)
+    private val client = EntryClient(settings.entries)
     private val jobs = Workload(settings.workload).jobs()
-    private val open = ConcurrentHashMap.newKeySet<SubmissionId>()
-    private val records = LoadRecords(settings, jobs)
+    private val openSubmissions = ConcurrentHashMap.newKeySet<SubmissionId>()
+    private val recorder = LoadRecorder(settings, jobs)
     private val random = Random(settings.workload.seed)
-    private var started = Duration.ZERO
+    private var startedAt = Duration.ZERO
 
-    /** Runs the load and returns its report once every answer has come. */
+    /** Runs the load and returns its report once every submission is answered. */
     suspend fun run(): LoadReport {
-        val before = scrape()
+        val before = scrapeMetrics()
         val wallStart = clock.wall()
-        started = clock.monotonic() + LEAD
+        startedAt = clock.monotonic() + WARM_UP_TIME
         coroutineScope {
-            val watch = launch { calls.watch() }
-            sendAll()
+            val watch = launch { client.pollReadiness() }
+            sendSubmissions()
             watch.cancel()
         }
-        return records.report(startedAt = wallStart.plusMillis(LEAD.inWholeMilliseconds), before = before, after = scrape())
+        return recorder.report(startedAt = wallStart.plusMillis(WARM_UP_TIME.inWholeMilliseconds), before = before, after = scrapeMetrics())
     }
 
-    override fun close() = calls.close()
+    override fun close() = client.close()
 
-    private suspend fun sendAll() =
+    private suspend fun sendSubmissions() =
         coroutineScope {
             launch { sendJobs() }
             launch { sendRequests() }
-            settings.cancels.at.forEach { at -> launch { cancelWave(at) } }
+            settings.cancels.at.forEach { at -> launch { sendCancelWave(at) } }
         }
 
-    private fun now(): Duration = clock.monotonic() - started
+    private fun now(): Duration = clock.monotonic() - startedAt
 
     private suspend fun waitUntil(at: Duration) = delay(at - now())
 
     private suspend fun sendJobs() =
         coroutineScope {
             for (plan in jobs) {
-                waitUntil(plan.at)
+                waitUntil(plan.arrivesAt)
                 launch { sendJob(plan) }
             }
         }
 
     private suspend fun sendJob(plan: JobPlan) {
         val job = submission(plan)
-        open += job.submission
-        val result = withResubmits { calls.submit(job) }
-        open -= job.submission
-        records.job(plan, job, result, now())
+        openSubmissions += job.submission
+        val result = withResubmits { client.submit(job) }
+        openSubmissions -= job.submission
+        recorder.recordJob(plan, job, result, now())
     }
 
     private suspend fun withResubmits(call: suspend () -> CallResult): CallResult {
         var result = call()
         repeat(settings.resubmits) {
-            if (result !is CallResult.Broken) return result
+            if (result !is CallResult.NoAnswer) return result
             delay(RESUBMIT_DELAY)
             result = call()
         }
@@ -106,12 +106,12 @@
     private suspend fun sendRequests() =
         coroutineScope {
             if (settings.requests.perSecond <= 0.0) return@coroutineScope
-            var at = gap()
+            var at = nextInterarrivalTime()
             var index = 0
             while (at < settings.workload.length) {
                 waitUntil(at)
                 sendRequest(index++, at)
-                at += gap()
+                at += nextInterarrivalTime()
             }
         }
 
@@ -128,28 +128,28 @@
                 deadlineMillis = settings.deadline?.inWholeMilliseconds,
                 idempotent = settings.requests.idempotent,
             )
-        val result = withResubmits { calls.submit(request) }
-        records.request(request, result, at, now())
+        val result = withResubmits { client.submit(request) }
+        recorder.recordRequest(request, result, at, now())
     }
 
-    private fun gap(): Duration = (-ln(1.0 - random.nextDouble()) / settings.requests.perSecond).seconds
+    private fun nextInterarrivalTime(): Duration = (-ln(1.0 - random.nextDouble()) / settings.requests.perSecond).seconds
 
-    private suspend fun cancelWave(at: Duration) =
+    private suspend fun sendCancelWave(at: Duration) =
         coroutineScope {
             waitUntil(at)
-            val chosen = open.toList()
-            chosen.take((chosen.size * settings.cancels.share).toInt()).forEach { launch { calls.cancel(it) } }
+            val chosen = openSubmissions.toList()
+            chosen.take((chosen.size * settings.cancels.share).toInt()).forEach { launch { client.cancel(it) } }
         }
 
-    private suspend fun scrape() =
+    private suspend fun scrapeMetrics() =
         Scrape(
-            pages = settings.scrapes.mapNotNull { url -> calls.metrics(url)?.let { url to MetricsPage(it) } }.toMap(),
-            processorSeconds = ProcessTimes().seconds(settings.pids),
+            pages = settings.scrapes.mapNotNull { url -> client.metrics(url)?.let { url to MetricsPage(it) } }.toMap(),
+            processorSeconds = ProcessCpuTimes().seconds(settings.pids),
         )
 
     private companion object {
-        /** Time to warm up before the first arrival. */
-        val LEAD = 200.milliseconds
+        /** Time between the first readiness check and the first arrival. */
+        val WARM_UP_TIME = 200.milliseconds
         val RESUBMIT_DELAY = 300.milliseconds
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/Main.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/Main.kt
@@ -11,7 +11,7 @@
 
 internal const val PROGRAM = "bluebellramp-bench"
 
-/** Runs the experiment that the first word of [args] names. */
+/** Runs the subcommand that the first of [args] names. */
 @OptIn(ExperimentalCli::class)
 fun main(args: Array<String>) {
     configureLogging(file = null)
--- a/bench/src/main/kotlin/io/bluebellramp/bench/MetricsPage.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/MetricsPage.kt
@@ -1,10 +1,10 @@
 package io.bluebellramp.bench
 
-/** The counters of a Prometheus text page. */
+/** Counters parsed from a page in the Prometheus text format. */
 internal class MetricsPage(
     text: String,
 ) {
-    /** Value of each counter, by name and labels. */
+    /** Value of each counter by its name with labels. */
     val counters: Map<String, Double> =
         text
             .lineSequence()
@@ -13,7 +13,7 @@
             .filter { (name, value) -> value != null && name.substringBefore('{').endsWith("_total") }
             .associate { (name, value) -> name to (value ?: 0.0) }
 
-    /** How the counters grew from [before] to this page. */
+    /** Returns the increase of each counter from [before] to this page. */
     fun growthSince(
         before: MetricsPage?,
         process: String,
@@ -26,16 +26,16 @@
 }
 
 /**
- * What the processes have counted at one moment.
+ * Counters and processor times of all processes at one moment.
  *
- * @property pages pages of metrics by URL
+ * @property pages metrics pages by URL
  * @property processorSeconds processor time by process id (s)
  */
 internal class Scrape(
     private val pages: Map<String, MetricsPage>,
     private val processorSeconds: Map<Int, Double>,
 ) {
-    /** How everything grew from [before] to this moment. */
+    /** Returns the increase of each counter and processor time since [before]. */
     fun growthSince(
         before: Scrape,
         tasks: Int,
--- a/bench/src/main/kotlin/io/bluebellramp/bench/Percentiles.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/Percentiles.kt
@@ -3,7 +3,7 @@
 import kotlinx.serialization.Serializable
 import org.HdrHistogram.DoubleHistogram
 
-/** Percentiles of a figure. All are 0 if there is no sample. */
+/** Percentiles of a set of samples. All are 0 if there is no sample. */
 @Serializable
 internal data class Percentiles(
     val samples: Long,
@@ -14,16 +14,16 @@
     val max: Double,
     val mean: Double,
 ) {
-    /** The percentiles in one line. */
-    fun wording(): String = "median %.3f, p90 %.3f, p99 %.3f, p99.9 %.3f, max %.3f (%d)".format(median, p90, p99, p999, max, samples)
+    /** Returns the percentiles as one line of text. */
+    fun summary(): String = "median %.3f, p90 %.3f, p99 %.3f, p99.9 %.3f, max %.3f (%d)".format(median, p90, p99, p999, max, samples)
 
     companion object {
-        private const val DIGITS = 4
-        private const val RANGE = 100_000_000L
+        private const val SIGNIFICANT_DIGITS = 4
+        private const val HIGHEST_TO_LOWEST_RATIO = 100_000_000L
 
         /** Returns the percentiles of [values]. */
         fun of(values: Iterable<Double>): Percentiles {
-            val histogram = DoubleHistogram(RANGE, DIGITS)
+            val histogram = DoubleHistogram(HIGHEST_TO_LOWEST_RATIO, SIGNIFICANT_DIGITS)
             values.forEach { histogram.recordValue(it) }
             if (histogram.totalCount == 0L) return Percentiles(0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
             return Percentiles(
--- a/bench/src/main/kotlin/io/bluebellramp/bench/ZoneWork.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/ZoneWork.kt
@@ -8,7 +8,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** An availability zone was taken out of service or returned. [at] is when the change was accepted. */
+/** Change that took an availability zone out of service or returned it. [at] is when the change was accepted. */
 internal data class ZoneChange(
     val zone: ZoneId,
     val at: Duration,
@@ -16,12 +16,12 @@
 )
 
 /**
- * One task of a run. Times count from the start of the run.
+ * Execution of one task of a run. Times are relative to the start of the run.
  *
  * @property zone where it ran, or null if it never started
  * @property end when it ended, or when its job was answered if it never started
  */
-internal data class RanTask(
+internal data class TaskExecution(
     val arrived: Duration,
     val zone: ZoneId?,
     val started: Duration,
@@ -29,62 +29,62 @@
 )
 
 /**
- * Compares the work done in the zones in service with what their slots allow.
+ * Compares the work done in the zones in service with the work that their slots allow.
  *
- * At each moment the slots in service allow as many tasks as there are slots or open tasks, whichever is fewer. Tasks that still run
- * in a zone that is out count neither as done nor as open.
+ * The number of tasks allowed at each moment is the smaller of the slots in service and the open tasks. Tasks that still run in a
+ * zone out of service count neither as done nor as open.
  *
- * @param slots slots of each zone
+ * @param slots number of slots of each zone
  */
 internal class ZoneWork(
     private val slots: Map<ZoneId, Int>,
-    private val tasks: List<RanTask>,
+    private val tasks: List<TaskExecution>,
     private val changes: List<ZoneChange>,
 ) {
-    private sealed interface Step {
+    private sealed interface Event {
         val at: Duration
 
-        class Open(
+        class OpenTasks(
             override val at: Duration,
             val tasks: Int,
-        ) : Step
+        ) : Event
 
-        class Running(
+        class RunningTasks(
             override val at: Duration,
             val zone: ZoneId,
             val tasks: Int,
-        ) : Step
+        ) : Event
 
-        class Change(
+        class ZoneInOrOut(
             override val at: Duration,
             val change: ZoneChange,
-        ) : Step
+        ) : Event
 
-        class Cut(
+        class SliceBoundary(
             override val at: Duration,
-        ) : Step
+        ) : Event
     }
 
-    private val steps = (taskSteps() + changes.map { Step.Change(it.at, it) }).sortedBy { it.at }
+    private val events = (taskEvents() + changes.map { Event.ZoneInOrOut(it.at, it) }).sortedBy { it.at }
 
-    /** The work of each second until [length], split where a zone changed. */
+    /** Returns the work of each second until [length]. A second in which a zone changed is split at the change. */
     fun slices(length: Duration): List<WorkSlice> {
-        val cuts = cuts(length)
-        val sums = cuts.zipWithNext { from, to -> Sum(from, to) }
-        var place = 0
-        sweep((steps + cuts.map { Step.Cut(it) }).sortedBy { it.at }) { from, to, done, allowed, open ->
-            while (place < sums.size && sums[place].to <= from) place++
-            sums.getOrNull(place)?.takeIf { from >= it.from }?.add(to - from, done, allowed, open)
+        val boundaries = boundaries(length)
+        val sliceSums = boundaries.zipWithNext { from, to -> SliceSum(from, to) }
+        var index = 0
+        sweep((events + boundaries.map { Event.SliceBoundary(it) }).sortedBy { it.at }) { from, to, done, allowed, slotsInService ->
+            while (index < sliceSums.size && sliceSums[index].to <= from) index++
+            sliceSums.getOrNull(index)?.takeIf { from >= it.from }?.add(to - from, done, allowed, slotsInService)
         }
-        return sums.map { it.slice() }
+        return sliceSums.map { it.slice() }
     }
 
-    /** What followed each time a zone was taken out. */
-    fun changes(): List<ZoneOutFigures> =
+    /** Returns the timing of starts and work after each change that took a zone out of service. */
+    fun changes(): List<ZoneOutageTiming> =
         changes.filter { !it.inService }.map { out ->
             val returned = changes.firstOrNull { it.zone == out.zone && it.inService && it.at > out.at }?.at
             val starts = tasks.filter { it.zone == out.zone }.map { it.started }
-            ZoneOutFigures(
+            ZoneOutageTiming(
                 zone = out.zone.value,
                 outMillis = out.at.millis(),
                 lastStartMillis =
@@ -94,60 +94,60 @@
                     },
                 inMillis = returned?.millis(),
                 firstStartMillis = returned?.let { at -> starts.filter { it >= at }.minOrNull()?.let { (it - at).millis() } },
-                fullWorkMillis = returned?.let { at -> fullWork(out.zone, at)?.let { (it - at).millis() } },
+                fullWorkMillis = returned?.let { at -> fullWorkTime(out.zone, at)?.let { (it - at).millis() } },
             )
         }
 
-    private fun fullWork(
+    private fun fullWorkTime(
         zone: ZoneId,
         from: Duration,
     ): Duration? {
-        val full = ceil((slots[zone] ?: 0) * FULL_SHARE).toInt()
+        val full = ceil((slots[zone] ?: 0) * FULL_WORK_SHARE).toInt()
         var running = 0
-        for (step in steps) {
-            if (step is Step.Running && step.zone == zone) running += step.tasks
-            if (step.at >= from && running >= full) return step.at
+        for (event in events) {
+            if (event is Event.RunningTasks && event.zone == zone) running += event.tasks
+            if (event.at >= from && running >= full) return event.at
         }
         return null
     }
 
-    private fun cuts(length: Duration): List<Duration> {
+    private fun boundaries(length: Duration): List<Duration> {
         val whole = (0..floor(length.toDouble(DurationUnit.SECONDS)).toInt()).map { it.seconds }
         return (whole + changes.map { it.at }.filter { it in Duration.ZERO..length } + length).distinct().sorted()
     }
 
-    private fun taskSteps(): List<Step> =
+    private fun taskEvents(): List<Event> =
         tasks.flatMap { task ->
             val zone = task.zone
-            val open = listOf(Step.Open(task.arrived, 1), Step.Open(task.end, -1))
-            if (zone == null) open else open + listOf(Step.Running(task.started, zone, 1), Step.Running(task.end, zone, -1))
+            val open = listOf(Event.OpenTasks(task.arrived, 1), Event.OpenTasks(task.end, -1))
+            if (zone == null) open else open + listOf(Event.RunningTasks(task.started, zone, 1), Event.RunningTasks(task.end, zone, -1))
         }
 
-    /** Calls [visit] with the start, the end, the tasks running, the tasks allowed and the slots of each stretch without a step. */
+    /** Calls [visit] for each interval between two events with its start, end, running tasks, allowed tasks and slots in service. */
     private fun sweep(
-        steps: List<Step>,
-        visit: (from: Duration, to: Duration, done: Int, allowed: Int, open: Int) -> Unit,
+        events: List<Event>,
+        visit: (from: Duration, to: Duration, done: Int, allowed: Int, slotsInService: Int) -> Unit,
     ) {
         val running = HashMap<ZoneId, Int>()
         val out = HashSet<ZoneId>()
-        var waiting = 0
-        steps.zipWithNext { step, next ->
-            when (step) {
-                is Step.Open -> waiting += step.tasks
-                is Step.Running -> running.merge(step.zone, step.tasks, Int::plus)
-                is Step.Change -> if (step.change.inService) out -= step.change.zone else out += step.change.zone
-                is Step.Cut -> Unit
+        var openTasks = 0
+        events.zipWithNext { event, next ->
+            when (event) {
+                is Event.OpenTasks -> openTasks += event.tasks
+                is Event.RunningTasks -> running.merge(event.zone, event.tasks, Int::plus)
+                is Event.ZoneInOrOut -> if (event.change.inService) out -= event.change.zone else out += event.change.zone
+                is Event.SliceBoundary -> Unit
             }
-            if (next.at > step.at) {
-                val elsewhere = out.sumOf { running[it] ?: 0 }
-                val inService = slots.filterKeys { it !in out }.values.sum()
-                val done = running.values.sum() - elsewhere
-                visit(step.at, next.at, done, minOf(inService, waiting - elsewhere), inService)
+            if (next.at > event.at) {
+                val runningOutOfService = out.sumOf { running[it] ?: 0 }
+                val slotsInService = slots.filterKeys { it !in out }.values.sum()
+                val done = running.values.sum() - runningOutOfService
+                visit(event.at, next.at, done, minOf(slotsInService, openTasks - runningOutOfService), slotsInService)
             }
         }
     }
 
-    private class Sum(
+    private class SliceSum(
         val from: Duration,
         val to: Duration,
     ) {
@@ -158,27 +158,27 @@
         fun add(
             time: Duration,
             running: Int,
-            mayRun: Int,
-            inService: Int,
+            allowedToRun: Int,
+            slotsInService: Int,
         ) {
             done += time.toDouble(DurationUnit.SECONDS) * running
-            allowed += time.toDouble(DurationUnit.SECONDS) * mayRun
-            slots = inService
+            allowed += time.toDouble(DurationUnit.SECONDS) * allowedToRun
+            slots = slotsInService
         }
 
         fun slice() = WorkSlice(from.millis(), to.millis(), slots, done, allowed)
     }
 
     private companion object {
-        /** Share of the slots of a zone that are busy when it works in full. */
-        const val FULL_SHARE = 0.95
+        /** Share of busy slots from which a zone counts as fully used. */
+        const val FULL_WORK_SHARE = 0.95
     }
 }
 
 private fun Duration.millis() = toDouble(DurationUnit.MILLISECONDS)
 
-/** Reads a change from a line `MILLIS out ZONE` or `MILLIS in ZONE` (ms since the epoch), or returns null if it tells something else. */
-internal fun zoneChange(
+/** Parses a line `MILLIS out ZONE` or `MILLIS in ZONE` (ms since the epoch). Returns null for any other line. */
+internal fun parseZoneChange(
     line: String,
     startedAtMillis: Long,
 ): ZoneChange? {
--- a/bench/src/main/kotlin/io/bluebellramp/bench/ZoneWorkReport.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/ZoneWorkReport.kt
@@ -2,7 +2,7 @@
 
 import kotlinx.serialization.Serializable
 
-/** The work in the zones in service between two moments of a run (ms): run time done, and what the slots allow (s). */
+/** Work in the zones in service during an interval of a run: run time done and run time that the slots allow. */
 @Serializable
 internal data class WorkSlice(
     val fromMillis: Double,
@@ -11,19 +11,19 @@
     val doneSeconds: Double,
     val allowedSeconds: Double,
 ) {
-    /** Work done over what the slots allow. */
+    /** Work done divided by the work that the slots allow. */
     val share: Double get() = if (allowedSeconds > 0.0) doneSeconds / allowedSeconds else 1.0
 }
 
 /**
- * What followed when a zone was taken out. Times of the changes count from the start of the run, the others from the change (ms).
+ * Timing after a zone was taken out of service (ms). Times of changes are relative to the start of the run, others to the change.
  *
  * @property lastStartMillis last start in the zone after the change, or null if there was none
  * @property firstStartMillis first start in the zone after its return
- * @property fullWorkMillis when 95% of the slots of the zone were busy after its return
+ * @property fullWorkMillis first time after its return at which 95% of the slots of the zone were busy
  */
 @Serializable
-internal data class ZoneOutFigures(
+internal data class ZoneOutageTiming(
     val zone: String,
     val outMillis: Double,
     val lastStartMillis: Double?,
@@ -32,33 +32,33 @@
     val fullWorkMillis: Double?,
 )
 
-/** The work done while zones left and returned. */
+/** Work done while zones went out of and back into service. */
 @Serializable
 internal data class ZoneWorkReport(
-    val changes: List<ZoneOutFigures>,
+    val changes: List<ZoneOutageTiming>,
     val slices: List<WorkSlice>,
 ) {
-    /** The figures in a few lines. */
-    fun wording(): String = (changes.map { it.wording() } + shares()).joinToString("\n")
+    /** Returns the report as a few lines of text. */
+    fun summary(): String = (changes.map { it.summary() } + spanSummaries()).joinToString("\n")
 
-    private fun shares(): List<String> {
-        val first = changes.minOfOrNull { it.outMillis } ?: return listOf(span("in all", 0.0, Double.MAX_VALUE))
+    private fun spanSummaries(): List<String> {
+        val first = changes.minOfOrNull { it.outMillis } ?: return listOf(spanSummary("in all", 0.0, Double.MAX_VALUE))
         val last = changes.mapNotNull { it.inMillis }.maxOrNull() ?: return emptyList()
         return listOf(
-            span("before", 0.0, first),
-            span("from out to in", first, last),
-            span("5 s after in", last, last + AFTER_MILLIS),
-            span("out to 5 s after in", first, last + AFTER_MILLIS),
+            spanSummary("before", 0.0, first),
+            spanSummary("from out to in", first, last),
+            spanSummary("5 s after in", last, last + AFTER_RETURN_MILLIS),
+            spanSummary("out to 5 s after in", first, last + AFTER_RETURN_MILLIS),
         )
     }
 
-    private fun span(
+    private fun spanSummary(
         name: String,
         from: Double,
         to: Double,
     ): String {
         val inside = slices.filter { it.fromMillis >= from && it.fromMillis < to && it.allowedSeconds > 0.0 }
-        val least = inside.filter { it.toMillis - it.fromMillis >= SHORTEST_MILLIS }.minByOrNull { it.share }
+        val least = inside.filter { it.toMillis - it.fromMillis >= MIN_SLICE_MILLIS }.minByOrNull { it.share }
         val done = inside.sumOf { it.doneSeconds }
         val allowed = inside.sumOf { it.allowedSeconds }
         if (inside.isEmpty()) return "work $name: not in the run"
@@ -68,33 +68,35 @@
             allowed,
             PERCENT * done / allowed,
             PERCENT * (least?.share ?: 1.0),
-            (least?.fromMillis ?: 0.0) / MILLIS,
+            (least?.fromMillis ?: 0.0) / MILLIS_PER_SECOND,
         )
     }
 
-    private fun ZoneOutFigures.wording() =
-        "zone $zone: out at ${text(outMillis)}, last start after ${text(lastStartMillis)}, in at ${text(inMillis)}, " +
-            "first start after ${text(firstStartMillis)}, full work after ${text(fullWorkMillis)} (ms)"
+    private fun ZoneOutageTiming.summary() =
+        "zone $zone: out at ${formatMillis(
+            outMillis,
+        )}, last start after ${formatMillis(lastStartMillis)}, in at ${formatMillis(inMillis)}, " +
+            "first start after ${formatMillis(firstStartMillis)}, full work after ${formatMillis(fullWorkMillis)} (ms)"
 
-    private fun text(millis: Double?) = millis?.let { "%.0f".format(it) } ?: "none"
+    private fun formatMillis(millis: Double?) = millis?.let { "%.0f".format(it) } ?: "none"
 
     private companion object {
-        const val AFTER_MILLIS = 5000.0
+        const val AFTER_RETURN_MILLIS = 5000.0
 
-        /** Parts of a second that are shorter are not judged alone (ms). */
-        const val SHORTEST_MILLIS = 200.0
+        /** Shorter slices are ignored in the search for the slice with the least work. */
+        const val MIN_SLICE_MILLIS = 200.0
         const val PERCENT = 100.0
-        const val MILLIS = 1000.0
+        const val MILLIS_PER_SECOND = 1000.0
     }
 }
 
 /**
- * What the starts files of the targets tell of the jobs of a run.
+ * Counts from the starts files of the targets for the jobs of a run.
  *
  * @property twice tasks that started more than once
  * @property extra starts beyond the first of each task
  * @property afterNotRun starts of jobs that were answered `not_run`
- * @property byTarget starts at each target, by its file
+ * @property byTarget starts at each target, by the name of its starts file
  */
 @Serializable
 internal data class StartsReport(
@@ -104,8 +106,8 @@
     val afterNotRun: Int,
     val byTarget: Map<String, Int>,
 ) {
-    /** The figures in one line. */
-    fun wording(): String =
+    /** Returns the counts as one line of text. */
+    fun summary(): String =
         "starts: $starts, tasks started twice $twice, extra starts $extra, starts of jobs answered not_run $afterNotRun; " +
             "by target ${byTarget.values.joinToString(" ")}"
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsCommand.kt
@@ -11,7 +11,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** Plays a day of a site file against the entries and agents for best-effort jobs, in virtual time. */
+/** Simulates the arrivals of a site file against the entries and agents for best-effort jobs, in virtual time. */
 internal class JobsCommand : BenchCommand("jobs", "Play the arrivals of a site file against entries and agents, in virtual time") {
     private val site by option(ArgType.String, "site", description = "Site file (TOML)").required()
     private val day by option(ArgType.String, "day", description = "Day of the site file; its plain traffic if absent")
@@ -28,7 +28,7 @@
         val rows = JobsReport.rows(jobs)
         println("seeds $seed to ${seed + seeds - 1}, load $load, ${model.targets.size} targets, ${model.entries} entries")
         println(JobsRow.HEADER)
-        rows.forEach { println(it.wording()) }
+        rows.forEach { println(it.summary()) }
         out?.let { Files.writeString(Path.of(it), ReportJson.encodeToString(ListSerializer(JobsRow.serializer()), rows)) }
         return ExitCode.OK
     }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsReport.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsReport.kt
@@ -8,9 +8,9 @@
 import kotlin.time.DurationUnit
 
 /**
- * What callers got of a group of jobs.
+ * Results of a group of jobs as seen by their callers.
  *
- * @property worth share of the credit: all in time, some late, none else
+ * @property worth value of the answers as a share of the maximum: full if in time, reduced if late, none otherwise
  */
 @Serializable
 internal data class JobsRow(
@@ -24,25 +24,25 @@
     val medianMillis: Double,
     val p99Millis: Double,
 ) {
-    /** The row as a line of a table. */
-    fun wording() =
+    /** Returns the row as a line of the table. */
+    fun summary() =
         "%-26s %6d %6d %6d %7d %6d  %.3f %8.1f %8.1f".format(name, asked, inAim, late, refused, failed, worth, medianMillis, p99Millis)
 
     companion object {
         const val HEADER = "group                       asked in aim   late refused failed  worth   p50 ms   p99 ms"
 
-        /** An answer later than this many times the objective is worth nothing, by the users' rules. */
+        /** By the rules of the users, an answer after more than this many times the objective is worth nothing. */
         private const val LATE_FACTOR = 3
 
         fun of(
             name: String,
-            jobs: List<TrialJob>,
+            jobs: List<SimulatedJob>,
         ): JobsRow {
             val served = jobs.filter { it.answer == JobAnswer.Completed }
-            val inAim = served.filter { it.took <= it.objective }
-            val late = served.filter { it.took > it.objective && it.took <= it.objective * LATE_FACTOR }
+            val inAim = served.filter { it.responseTime <= it.objective }
+            val late = served.filter { it.responseTime > it.objective && it.responseTime <= it.objective * LATE_FACTOR }
             val credit = inAim.sumOf { it.kind.worth } + late.sumOf { it.kind.lateWorth }
-            val times = Percentiles.of(served.map { it.took.toDouble(DurationUnit.MILLISECONDS) })
+            val times = Percentiles.of(served.map { it.responseTime.toDouble(DurationUnit.MILLISECONDS) })
             return JobsRow(
                 name = name,
                 asked = jobs.size,
@@ -56,24 +56,24 @@
             )
         }
 
-        private val TrialJob.took: Duration get() = checkNotNull(answeredAt) - arrivedAt
+        private val SimulatedJob.responseTime: Duration get() = checkNotNull(answeredAt) - arrivedAt
     }
 }
 
-/** The rows of one trial: all, by kind of request, the widest tenth of each kind, and by window of the time of arrival. */
+/** Rows of a trial: all jobs, each kind of request, the largest tenth of each kind, and each window of arrival time. */
 internal object JobsReport {
     private val WINDOW = 2.seconds
 
-    /** Share of the jobs of a kind that counts as its widest. */
-    private const val WIDEST = 10
+    /** One in this many jobs of each kind is reported among its largest. */
+    private const val LARGEST_JOBS_DIVISOR = 10
 
-    fun rows(jobs: List<TrialJob>): List<JobsRow> {
+    fun rows(jobs: List<SimulatedJob>): List<JobsRow> {
         val kinds = jobs.groupBy { it.kind.name }
-        val widest = kinds.mapValues { (_, all) -> all.sortedByDescending { it.work }.take(all.size / WIDEST) }
-        val windows = jobs.groupBy { ((it.arrivedAt - JobsTrial.START_UP) / WINDOW).toInt() }.toSortedMap()
+        val largestJobs = kinds.mapValues { (_, all) -> all.sortedByDescending { it.work }.take(all.size / LARGEST_JOBS_DIVISOR) }
+        val windows = jobs.groupBy { ((it.arrivedAt - JobsTrial.START_UP_TIME) / WINDOW).toInt() }.toSortedMap()
         return listOf(JobsRow.of("all", jobs)) +
             kinds.map { (name, group) -> JobsRow.of(name, group) } +
-            widest.map { (name, group) -> JobsRow.of("$name, largest tenth", group) } +
+            largestJobs.map { (name, group) -> JobsRow.of("$name, largest tenth", group) } +
             windows.map { (window, group) -> JobsRow.of("from ${WINDOW * window}", group) }
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsTrial.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/JobsTrial.kt
@@ -1,6 +1,6 @@
 package io.bluebellramp.bench.jobs
 
-import io.bluebellramp.bench.trial.VirtualTime
+import io.bluebellramp.bench.trial.VirtualTimeScheduler
 import io.bluebellramp.core.JobId
 import io.bluebellramp.jobs.Caller
 import io.bluebellramp.jobs.JobAnswer
@@ -15,67 +15,69 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A job as its caller sees it. */
-internal class TrialJob(
+/** Job as seen by its caller. */
+internal class SimulatedJob(
     val kind: RequestKind,
     val arrivedAt: Duration,
     val runTimes: List<Duration>,
     val milliCpu: Int,
 ) {
-    /** Time from its arrival in which it is worth all: by its true run time, which the product does not know. */
+    /** Time from its arrival in which the answer has its full value. It depends on the true run time, which the scheduler does not know. */
     val objective: Duration = runTimes.max() * kind.stretch + kind.allowance
 
-    /** Core-seconds on a target of speed 1. */
-    val work = runTimes.sumOf { it.inWholeMicroseconds } / MICROS * milliCpu / MILLIS
+    /** Processor need in core-seconds on a target of speed 1. */
+    val work = runTimes.sumOf { it.inWholeMicroseconds } / MICROS_PER_SECOND * milliCpu / MILLI_CPUS_PER_CORE
     var answer: JobAnswer? = null
     var answeredAt: Duration? = null
 
     private companion object {
-        const val MICROS = 1e6
-        const val MILLIS = 1000.0
+        const val MICROS_PER_SECOND = 1e6
+        const val MILLI_CPUS_PER_CORE = 1000.0
     }
 }
 
-/** Plays the arrivals of [day] against the product's entries and agents, in virtual time. Callers come after [START_UP]. */
+/** Simulates the arrivals of [day] against the real schedulers and run managers, in virtual time. Jobs arrive from [START_UP_TIME] on. */
 internal class JobsTrial(
     day: SiteModel,
     seed: Long,
     private val load: Double = 1.0,
 ) {
-    private val site = day.copy(troubles = day.troubles.map { it.copy(at = it.at + START_UP) })
-    private val lastArrival = START_UP + site.length
-    private val end = lastArrival + REST
+    private val site = day.copy(disturbances = day.disturbances.map { it.copy(at = it.at + START_UP_TIME) })
+    private val lastArrival = START_UP_TIME + site.length
+    private val end = lastArrival + DRAIN_TIME
     private val random = Random(seed)
-    private val time = VirtualTime()
-    private val jobs = LinkedHashMap<JobId, TrialJob>()
-    private val system = ModelSystem(site, time, Random(seed + 1), end, ::runTime)
+    private val time = VirtualTimeScheduler()
+    private val jobs = LinkedHashMap<JobId, SimulatedJob>()
+    private val system = SimulatedSystem(site, time, Random(seed + 1), end, ::runTime)
 
-    /** Runs it and returns the jobs in the order of their arrival. */
-    fun run(): List<TrialJob> {
-        time.after(START_UP) { site.arrivals.forEach { next(it) } }
+    /** Runs the simulation and returns the jobs in order of arrival. */
+    fun run(): List<SimulatedJob> {
+        time.after(START_UP_TIME) { site.arrivals.forEach { scheduleNextArrival(it) } }
         time.run(end)
         return jobs.values.toList()
     }
 
     private fun runTime(run: RunKey): Duration = jobs.getValue(run.task.job).runTimes[run.task.index]
 
-    /** Draws arrivals at the highest rate that may be and leaves out those beyond the rate of the moment. */
-    private fun next(arrivals: Arrivals) {
-        val highest = arrivals.perSecond * load * (1 + arrivals.swing) * HIGHEST_BURST
+    /** Schedules a Poisson process with varying rate by thinning: arrivals are drawn at the highest rate and dropped at random. */
+    private fun scheduleNextArrival(arrivals: Arrivals) {
+        val highest = arrivals.perSecond * load * (1 + arrivals.amplitude) * MAX_BURST_FACTOR
         val gap = (-ln(1 - random.nextDouble()) / highest).seconds
         time.after(gap) {
             if (time.now > lastArrival) return@after
             val kind = drawKind(arrivals.mix)
-            if (random.nextDouble() * highest < arrivals.rate(time.now) * load * burst(kind)) submit(kind)
-            next(arrivals)
+            if (random.nextDouble() * highest < arrivals.rate(time.now) * load * burstFactor(kind)) submit(kind)
+            scheduleNextArrival(arrivals)
         }
     }
 
-    private fun burst(kind: RequestKind): Double =
-        site.troubles
-            .filter { it.kind == Trouble.Kind.BURST && it.isOn(time.now) && (it.requests.isEmpty() || it.requests == kind.name) }
-            .fold(1.0) { factor, trouble -> factor * trouble.factor }
-            .coerceAtMost(HIGHEST_BURST)
+    private fun burstFactor(kind: RequestKind): Double =
+        site.disturbances
+            .filter {
+                it.kind == Disturbance.Kind.BURST && it.isActive(time.now) &&
+                    (it.requestKind.isEmpty() || it.requestKind == kind.name)
+            }.fold(1.0) { factor, disturbance -> factor * disturbance.factor }
+            .coerceAtMost(MAX_BURST_FACTOR)
 
     private fun drawKind(mix: Map<String, Double>): RequestKind {
         var left = random.nextDouble() * mix.values.sum()
@@ -90,24 +92,24 @@
                 .draw(random)
                 .roundToInt()
                 .coerceAtLeast(1)
-        val runTimes = List(width) { (work * (1 + kind.uneven * (2 * random.nextDouble() - 1))).milliseconds }
-        val job = TrialJob(kind, time.now, runTimes, kind.milliCpu.draw(random).roundToInt())
+        val runTimes = List(width) { (work * (1 + kind.runTimeVariation * (2 * random.nextDouble() - 1))).milliseconds }
+        val job = SimulatedJob(kind, time.now, runTimes, kind.milliCpu.draw(random).roundToInt())
         val id = JobId("%016x".format(jobs.size + 1))
         jobs[id] = job
-        val estimate = work * (1 + kind.estimateOff * (2 * random.nextDouble() - 1))
+        val estimate = work * (1 + kind.estimateError * (2 * random.nextDouble() - 1))
         val step = StepRequest(width, job.milliCpu, MEMORY_MB, estimate.milliseconds)
         val queue =
             Queue(
                 kind.name,
                 "h",
                 "/${kind.name}/",
-                ModelSystem.SERVICE,
+                SimulatedSystem.SERVICE,
                 kind.priority,
                 kind.attempts,
                 kind.stretch,
                 kind.allowance.inWholeMilliseconds,
             )
-        val timeout = maxOf(kind.patience, job.objective * PATIENCE)
+        val timeout = maxOf(kind.callerTimeout, job.objective * MIN_TIMEOUT_OBJECTIVES)
         val entry = system.entries.random(random)
         val caller =
             Caller {
@@ -118,17 +120,17 @@
     }
 
     companion object {
-        /** Time in which agents and targets find each other before callers come. */
-        val START_UP = 1.seconds
+        /** Time for agents, targets and entries to connect before the first job arrives. */
+        val START_UP_TIME = 1.seconds
 
-        /** Time after the last arrival in which jobs may end. */
-        private val REST = 10.seconds
+        /** Time after the last arrival for open jobs to end. */
+        private val DRAIN_TIME = 10.seconds
 
-        /** Bursts multiply the rate by this at most. */
-        private const val HIGHEST_BURST = 4.0
+        /** Maximum factor of all bursts together on the rate of arrivals. */
+        private const val MAX_BURST_FACTOR = 4.0
 
-        /** Callers wait for at least this many times the objective. */
-        private const val PATIENCE = 4
+        /** Minimum timeout of a job, as a multiple of its objective. */
+        private const val MIN_TIMEOUT_OBJECTIVES = 4
         private const val MEMORY_MB = 64
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/ModelSystem.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/SimulatedSystem.kt
@@ -1,6 +1,6 @@
 package io.bluebellramp.bench.jobs
 
-import io.bluebellramp.bench.trial.VirtualTime
+import io.bluebellramp.bench.trial.VirtualTimeScheduler
 import io.bluebellramp.core.Clock
 import io.bluebellramp.core.JobId
 import io.bluebellramp.core.ServiceId
@@ -25,39 +25,39 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-/** The product's own entries and agents over modelled links and targets, in virtual time. */
-internal class ModelSystem(
+/** Runs the real [JobScheduler] and [RunManager] over simulated links and targets, in virtual time. */
+internal class SimulatedSystem(
     private val site: SiteModel,
-    private val time: VirtualTime,
+    private val time: VirtualTimeScheduler,
     private val random: Random,
     private val end: Duration,
     private val runTimes: (RunKey) -> Duration,
 ) {
     private val clock =
         object : Clock {
-            override fun monotonic() = START + time.now
+            override fun monotonic() = MONOTONIC_START + time.now
 
             override fun wall(): Instant = Instant.EPOCH + monotonic().toJavaDuration()
         }
     private val agents = List(site.targets.size) { Agent(it) }
 
-    /** The entries; a caller is sent to any of them. */
+    /** Schedulers of the entries. Jobs may be submitted to any of them. */
     val entries: List<JobScheduler> =
         List(site.entries) { Entry(it) }
             .onEach { entry ->
                 agents.forEach { entry.connect(it) }
             }.map { it.scheduler }
 
-    private fun hop() = site.hop * (HOP_LEAST + random.nextDouble())
+    private fun drawDelay() = site.networkDelay * (MIN_DELAY_SHARE + random.nextDouble())
 
-    /** Which targets a trouble meets: the same for its whole time. */
-    private fun meets(
-        trouble: Trouble,
+    /** Returns whether [disturbance] affects [target]. The affected targets stay the same while it lasts. */
+    private fun affects(
+        disturbance: Disturbance,
         target: Int,
     ): Boolean {
-        val many = (trouble.share * site.targets.size).toInt().coerceAtLeast(1)
-        val first = site.troubles.indexOf(trouble) * STRIDE
-        return (target - first).mod(site.targets.size) < many
+        val affectedTargets = (disturbance.share * site.targets.size).toInt().coerceAtLeast(1)
+        val first = site.disturbances.indexOf(disturbance) * TARGET_STRIDE
+        return (target - first).mod(site.targets.size) < affectedTargets
     }
 
     private inner class Entry(
@@ -70,13 +70,13 @@
             time.every(LinkTiming.TICK, { time.now < end }) { scheduler.tick() }
         }
 
-        private val own = LinkId(number.toLong() + 1)
+        private val entryLink = LinkId(number.toLong() + 1)
 
         fun connect(agent: Agent) {
             val link = LinkId(agent.number.toLong() + 1)
             links[link] = agent
             scheduler.linkUp(link, "agent-${agent.number}", ZoneId("z"))
-            agent.entries[own] = Peer(link, scheduler)
+            agent.entries[entryLink] = Peer(link, scheduler)
         }
 
         override fun dispatch(
@@ -85,9 +85,9 @@
         ) {
             val agent = links.getValue(link)
             if (!agent.isCut()) {
-                time.after(hop()) {
-                    agent.entries.getValue(own).received += dispatch.tasks.size
-                    agent.runManager.dispatch(own, dispatch)
+                time.after(drawDelay()) {
+                    agent.entries.getValue(entryLink).received += dispatch.tasks.size
+                    agent.runManager.dispatch(entryLink, dispatch)
                 }
             }
         }
@@ -97,7 +97,7 @@
             job: JobId,
         ) {
             val agent = links.getValue(link)
-            if (!agent.isCut()) time.after(hop()) { agent.runManager.stopJob(own, job) }
+            if (!agent.isCut()) time.after(drawDelay()) { agent.runManager.stopJob(entryLink, job) }
         }
 
         override fun onDecision(decision: JobDecision) = Unit
@@ -115,44 +115,48 @@
     private inner class Agent(
         val number: Int,
     ) : RunOutputs {
-        private val troubles = site.troubles.filter { meets(it, number) }
-        private val target = ModelTarget(TargetId("t-$number"), site.targets[number], time, random, troubles, runTimes)
+        private val disturbances = site.disturbances.filter { affects(it, number) }
+        private val target = SimulatedTarget(TargetId("t-$number"), site.targets[number], time, random, disturbances, runTimes)
         val entries = LinkedHashMap<LinkId, Peer>()
         val runManager = RunManager(clock, target, this, ZoneId("z"), LinkTiming.RUN_LEASE, fence = 1)
-        private var life = 1L
+        private var incarnation = 1L
         private var sequence = 0L
-        private var heardAt = Duration.ZERO
+        private var lastReportAt = Duration.ZERO
         private var capacityChangedAt: Duration? = null
 
         init {
-            hear()
+            announceTarget()
             time.every(LinkTiming.TICK, { time.now < end }) { runManager.tick() }
-            time.every(LinkTiming.HEARTBEAT_PERIOD, { time.now < end }) { tellAll(isBeat = true) }
-            time.every(TARGET_BEAT, { time.now < end }) { hear() }
-            troubles.filter { it.kind == Trouble.Kind.CRASHED }.forEach { trouble ->
-                time.at(trouble.at) { target.crash() }
-                time.at(trouble.at + trouble.lasts) {
-                    life++
+            time.every(LinkTiming.HEARTBEAT_PERIOD, { time.now < end }) { reportCapacity(isHeartbeat = true) }
+            time.every(ANNOUNCEMENT_PERIOD, { time.now < end }) { announceTarget() }
+            disturbances.filter { it.kind == Disturbance.Kind.CRASHED }.forEach { disturbance ->
+                time.at(disturbance.at) { target.crash() }
+                time.at(disturbance.at + disturbance.duration) {
+                    incarnation++
                     sequence = 0
-                    hear()
+                    announceTarget()
                 }
             }
-            troubles.filter { it.kind == Trouble.Kind.CUT }.forEach { trouble ->
-                time.at(trouble.at + LinkTiming.LINK_TIMEOUT) { entries.forEach { (own, peer) -> lose(own, peer, trouble.at) } }
-                time.at(trouble.at + trouble.lasts) { entries.values.forEach { reconnect(it) } }
+            disturbances.filter { it.kind == Disturbance.Kind.CUT }.forEach { disturbance ->
+                time.at(disturbance.at + LinkTiming.LINK_TIMEOUT) {
+                    entries.forEach { (entryLink, peer) ->
+                        disconnect(entryLink, peer, disturbance.at)
+                    }
+                }
+                time.at(disturbance.at + disturbance.duration) { entries.values.forEach { reconnect(it) } }
             }
         }
 
-        fun isCut() = troubles.any { it.kind == Trouble.Kind.CUT && it.isOn(time.now) }
+        fun isCut() = disturbances.any { it.kind == Disturbance.Kind.CUT && it.isActive(time.now) }
 
-        private fun lose(
-            own: LinkId,
+        private fun disconnect(
+            entryLink: LinkId,
             peer: Peer,
             at: Duration,
         ) {
             peer.isUp = false
-            peer.scheduler.linkDown(peer.link, START + at)
-            runManager.linkDown(own)
+            peer.scheduler.linkDown(peer.link, MONOTONIC_START + at)
+            runManager.linkDown(entryLink)
         }
 
         private fun reconnect(peer: Peer) {
@@ -161,11 +165,11 @@
             peer.scheduler.linkUp(peer.link, "agent-$number", ZoneId("z"))
         }
 
-        private fun hear() {
-            if (troubles.any { it.kind == Trouble.Kind.CRASHED && it.isOn(time.now) }) return
+        private fun announceTarget() {
+            if (disturbances.any { it.kind == Disturbance.Kind.CRASHED && it.isActive(time.now) }) return
             val kind = site.targets[number]
             runManager.targetAnnounced(
-                TargetDescription(target.id, life, ++sequence, SERVICE, false, kind.milliCpu, kind.memoryMb, "10.0.0.1:1"),
+                TargetDescription(target.id, incarnation, ++sequence, SERVICE, false, kind.milliCpu, kind.memoryMb, "10.0.0.1:1"),
             )
         }
 
@@ -176,7 +180,7 @@
             val peer = entries.getValue(link)
             if (isCut() || !peer.isUp) return
             val capacity = runManager.capacityReport().copy(received = peer.received)
-            time.after(hop()) {
+            time.after(drawDelay()) {
                 peer.scheduler.capacityReported(peer.link, capacity)
                 peer.scheduler.report(peer.link, report)
             }
@@ -185,20 +189,20 @@
         override fun capacityChanged() {
             if (capacityChangedAt != null) return
             capacityChangedAt = time.now
-            time.after((heardAt + LinkTiming.MIN_REPORT_INTERVAL - time.now).coerceAtLeast(Duration.ZERO)) {
+            time.after((lastReportAt + LinkTiming.MIN_REPORT_INTERVAL - time.now).coerceAtLeast(Duration.ZERO)) {
                 capacityChangedAt = null
-                tellAll(isBeat = false)
+                reportCapacity(isHeartbeat = false)
             }
         }
 
-        private fun tellAll(isBeat: Boolean) {
-            heardAt = time.now
+        private fun reportCapacity(isHeartbeat: Boolean) {
+            lastReportAt = time.now
             if (isCut()) return
             for (peer in entries.values.filter { it.isUp }) {
                 val capacity = runManager.capacityReport().copy(received = peer.received)
-                if (!isBeat && capacity == peer.lastReport) continue
+                if (!isHeartbeat && capacity == peer.lastReport) continue
                 peer.lastReport = capacity
-                time.after(hop()) { peer.scheduler.capacityReported(peer.link, capacity) }
+                time.after(drawDelay()) { peer.scheduler.capacityReported(peer.link, capacity) }
             }
         }
 
@@ -208,16 +212,16 @@
     companion object {
         val SERVICE = ServiceId("s")
 
-        /** The steady clock does not begin at zero. */
-        private val START = 1000.seconds
+        /** Value of the monotonic clock at the start, which need not be zero. */
+        private val MONOTONIC_START = 1000.seconds
 
-        /** A hop takes between this share of the site's time and one more. */
-        private const val HOP_LEAST = 0.5
+        /** Minimum delay of a message as a share of the network delay of the site; the maximum is one more. */
+        private const val MIN_DELAY_SHARE = 0.5
 
-        /** Troubles at the same time meet different targets. */
-        private const val STRIDE = 3
+        /** Offset between the first targets of successive disturbances, so that simultaneous ones affect different targets. */
+        private const val TARGET_STRIDE = 3
 
-        /** How often a target tells about itself. */
-        private val TARGET_BEAT = 1500.milliseconds
+        /** Interval between announcements of a target. */
+        private val ANNOUNCEMENT_PERIOD = 1500.milliseconds
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/ModelTarget.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/SimulatedTarget.kt
@@ -1,6 +1,6 @@
 package io.bluebellramp.bench.jobs
 
-import io.bluebellramp.bench.trial.VirtualTime
+import io.bluebellramp.bench.trial.VirtualTimeScheduler
 import io.bluebellramp.core.TargetId
 import io.bluebellramp.jobs.LeaseResult
 import io.bluebellramp.jobs.ListedEnd
@@ -14,15 +14,15 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A target that starts what it is told to. Its answers take [CALL] and are never lost; it may be slow, fail, hang or be gone for a while.
- * Leases do not run out here: `JobsSimulationTest` covers that.
+ * Simulated target that starts each run it is ordered to. Each direction of a call takes [CALL_DELAY] and no message is lost.
+ * [disturbances] make it slow, fail its runs, hang or crash. Leases do not expire here: `JobsSimulationTest` covers that.
  */
-internal class ModelTarget(
+internal class SimulatedTarget(
     val id: TargetId,
     val kind: TargetKind,
-    private val time: VirtualTime,
+    private val time: VirtualTimeScheduler,
     private val random: Random,
-    private val troubles: List<Trouble>,
+    private val disturbances: List<Disturbance>,
     private val runTimes: (RunKey) -> Duration,
 ) : TargetPort {
     private class Running(
@@ -34,24 +34,24 @@
 
     private val running = LinkedHashMap<RunKey, Running>()
     private val ended = ArrayList<ListedEnd>()
-    private var ends = 0L
-    private var open: (() -> Unit)? = null
+    private var lastEndNumber = 0L
+    private var answerOpenCall: (() -> Unit)? = null
 
-    private fun isIn(kind: Trouble.Kind) = troubles.any { it.kind == kind && it.isOn(time.now) }
+    private fun isAffectedBy(kind: Disturbance.Kind) = disturbances.any { it.kind == kind && it.isActive(time.now) }
 
     override fun start(
         target: TargetId,
         order: StartOrder,
         onResult: (StartResult) -> Unit,
     ) = call(StartResult.NoAnswer, onResult) {
-        val slowness = troubles.filter { it.kind == Trouble.Kind.SLOW && it.isOn(time.now) }.maxOfOrNull { it.factor } ?: 1.0
-        val takes = runTimes(order.run) / kind.speed * slowness
-        val hangs = isIn(Trouble.Kind.HANGING)
-        val run = Running(order.run, time.now, time.now + takes, hangs)
+        val slowness = disturbances.filter { it.kind == Disturbance.Kind.SLOW && it.isActive(time.now) }.maxOfOrNull { it.factor } ?: 1.0
+        val fullRunTime = runTimes(order.run) / kind.speed * slowness
+        val hangs = isAffectedBy(Disturbance.Kind.HANGING)
+        val run = Running(order.run, time.now, time.now + fullRunTime, hangs)
         running[order.run] = run
-        val fails = isIn(Trouble.Kind.FAILING)
-        val until = if (fails) takes * random.nextDouble() else takes
-        if (!hangs) time.after(until) { end(run, if (fails) RunEnd.FAILED else RunEnd.DONE) }
+        val fails = isAffectedBy(Disturbance.Kind.FAILING)
+        val endsAfter = if (fails) fullRunTime * random.nextDouble() else fullRunTime
+        if (!hangs) time.after(endsAfter) { end(run, if (fails) RunEnd.FAILED else RunEnd.DONE) }
         StartResult.Started
     }
 
@@ -61,7 +61,7 @@
         fence: Long,
         onResult: (Boolean) -> Unit,
     ) = call(false, onResult) {
-        running[run]?.let { there -> time.after(STOP) { end(there, RunEnd.STOPPED) } }
+        running[run]?.let { stoppedRun -> time.after(STOP_TIME) { end(stoppedRun, RunEnd.STOPPED) } }
         true
     }
 
@@ -73,8 +73,8 @@
         wait: Duration,
         onResult: (LeaseResult) -> Unit,
     ) {
-        if (isIn(Trouble.Kind.CRASHED)) {
-            time.after(CALL) { onResult(LeaseResult.NoAnswer("crashed")) }
+        if (isAffectedBy(Disturbance.Kind.CRASHED)) {
+            time.after(CALL_DELAY) { onResult(LeaseResult.NoAnswer("crashed")) }
             return
         }
         ended.removeAll { it.number <= acknowledged }
@@ -82,21 +82,21 @@
         val answer = {
             if (!isAnswered) {
                 isAnswered = true
-                time.after(CALL) { onResult(listing()) }
+                time.after(CALL_DELAY) { onResult(runList()) }
             }
         }
         if (ended.isNotEmpty() || wait <= Duration.ZERO) return answer()
-        open = answer
+        answerOpenCall = answer
         time.after(wait, answer)
     }
 
-    /** Everything that runs is gone, as with a crash. */
+    /** Drops all runs, as a crash of the target does. */
     fun crash() {
         running.clear()
         ended.clear()
     }
 
-    private fun listing() = LeaseResult.RunList(1, time.now, running.values.associate { it.key to percent(it) }, ended.toList())
+    private fun runList() = LeaseResult.RunList(1, time.now, running.values.associate { it.key to percent(it) }, ended.toList())
 
     private fun percent(run: Running): Int {
         if (run.hangs) return 0
@@ -108,26 +108,26 @@
         how: RunEnd,
     ) {
         if (running.remove(run.key) == null) return
-        ended += ListedEnd(++ends, run.key, how)
-        open?.invoke()
-        open = null
+        ended += ListedEnd(++lastEndNumber, run.key, how)
+        answerOpenCall?.invoke()
+        answerOpenCall = null
     }
 
     private fun <T> call(
         noAnswer: T,
         onResult: (T) -> Unit,
         action: () -> T,
-    ) = time.after(CALL) {
-        val result = if (isIn(Trouble.Kind.CRASHED)) noAnswer else action()
-        time.after(CALL) { onResult(result) }
+    ) = time.after(CALL_DELAY) {
+        val result = if (isAffectedBy(Disturbance.Kind.CRASHED)) noAnswer else action()
+        time.after(CALL_DELAY) { onResult(result) }
     }
 
     private companion object {
-        /** One way between an agent and its target on the same VM, with the processes' own time. */
-        val CALL = 1.milliseconds
+        /** One-way delay between an agent and its target on the same VM, including processing. */
+        val CALL_DELAY = 1.milliseconds
 
-        /** Time that ending a run takes; at most 50 ms by the platform. */
-        val STOP = 25.milliseconds
+        /** Time to stop a run. The platform allows at most 50 ms. */
+        val STOP_TIME = 25.milliseconds
         const val PERCENT = 100
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/jobs/SiteFile.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/jobs/SiteFile.kt
@@ -10,19 +10,19 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Reads a deployment and one of its days from a site file of the users' bench. What the trial does not model is left out. */
+/** Reads a deployment and one of its days from a site file of the users. Content that the simulation does not model is ignored. */
 internal object SiteFile {
-    private val troubleKinds =
+    private val disturbanceKinds =
         mapOf(
-            "burst" to Trouble.Kind.BURST,
-            "srv_slow" to Trouble.Kind.SLOW,
-            "srv_crash" to Trouble.Kind.CRASHED,
-            "node_cut" to Trouble.Kind.CUT,
-            "srv_grey errors" to Trouble.Kind.FAILING,
-            "srv_grey hang" to Trouble.Kind.HANGING,
+            "burst" to Disturbance.Kind.BURST,
+            "srv_slow" to Disturbance.Kind.SLOW,
+            "srv_crash" to Disturbance.Kind.CRASHED,
+            "node_cut" to Disturbance.Kind.CUT,
+            "srv_grey errors" to Disturbance.Kind.FAILING,
+            "srv_grey hang" to Disturbance.Kind.HANGING,
         )
 
-    /** @param day name of a day, or null for the traffic of the site without trouble */
+    /** @param day name of a day, or null for the normal traffic of the site without disturbances */
     fun read(
         file: Path,
         day: String?,
@@ -34,38 +34,38 @@
                 throw UsageException("cannot read $file: ${e.message}")
             }
         site.errors().firstOrNull()?.let { throw UsageException("$file: ${it.message}") }
-        val played =
+        val dayTable =
             day?.let { name ->
                 site.tables("day").find { it.text("name") == name }
                     ?: throw UsageException("$file has no day $name")
             }
-        val thin = site.number("thin", 1.0)
+        val thinning = site.number("thin", 1.0)
         return SiteModel(
-            kinds = site.tables("classes").map { kind(it, thin) },
-            arrivals = (played ?: site).tables("traffic").ifEmpty { site.tables("traffic") }.map { arrivals(it, thin) },
+            kinds = site.tables("classes").map { kind(it, thinning) },
+            arrivals = (dayTable ?: site).tables("traffic").ifEmpty { site.tables("traffic") }.map { arrivals(it, thinning) },
             targets = targets(site),
             entries = machines(site, "front"),
-            hop = site.table("net").number("cross_zone_ms", 1.0).milliseconds,
-            troubles = played?.tables("faults").orEmpty().mapNotNull { trouble(it) },
+            networkDelay = site.table("net").number("cross_zone_ms", 1.0).milliseconds,
+            disturbances = dayTable?.tables("faults").orEmpty().mapNotNull { disturbance(it) },
             length = site.number("length_s", 30.0).seconds,
         )
     }
 
     private fun kind(
         table: TomlTable,
-        thin: Double,
+        thinning: Double,
     ): RequestKind {
         val jobs = table.table("jobs")
         return RequestKind(
             name = table.text("name"),
-            work = spread(table.table("work_ms"), 1 / thin),
-            width = spread(jobs.table("width")),
-            milliCpu = spread(jobs.table("cpu")),
-            uneven = jobs.number("uneven", 0.0),
-            estimateOff = jobs.number("est_off", 0.0),
+            work = distribution(table.table("work_ms"), 1 / thinning),
+            width = distribution(jobs.table("width")),
+            milliCpu = distribution(jobs.table("cpu")),
+            runTimeVariation = jobs.number("uneven", 0.0),
+            estimateError = jobs.number("est_off", 0.0),
             stretch = jobs.number("stretch", 1.0),
             allowance = table.number("aim_ms", 0.0).milliseconds,
-            patience = table.number("deadline_ms", 1500.0).milliseconds,
+            callerTimeout = table.number("deadline_ms", 1500.0).milliseconds,
             attempts = table.number("attempts", 1.0).toInt(),
             priority = table.number("priority", 0.0).toInt(),
             worth = table.number("worth", 1.0),
@@ -75,14 +75,14 @@
 
     private fun arrivals(
         table: TomlTable,
-        thin: Double,
+        thinning: Double,
     ): Arrivals {
         val shape = table.table("shape")
         val mix = table.table("mix")
         return Arrivals(
-            perSecond = table.number("per_s", 0.0) * thin,
+            perSecond = table.number("per_s", 0.0) * thinning,
             mix = mix.keySet().associateWith { mix.number(it, 0.0) },
-            swing = shape.number("swing", 0.0),
+            amplitude = shape.number("swing", 0.0),
             period = shape.number("period_s", 10.0).seconds,
             phase = shape.number("phase", 0.0),
         )
@@ -107,22 +107,26 @@
         kind: String,
     ) = site.tables("machines").filter { it.text("class") == kind }.sumOf { it.number("count", 1.0).toInt() }
 
-    private fun trouble(table: TomlTable): Trouble? {
-        val kind = troubleKinds["${table.text("kind")} ${table.text("how")}"] ?: troubleKinds[table.text("kind")] ?: return null
-        return Trouble(
+    private fun disturbance(table: TomlTable): Disturbance? {
+        val kind = disturbanceKinds["${table.text("kind")} ${table.text("how")}"] ?: disturbanceKinds[table.text("kind")] ?: return null
+        return Disturbance(
             kind = kind,
             at = table.number("at", 0.0).seconds,
-            lasts = table.number("for_s", 5.0).seconds,
+            duration = table.number("for_s", 5.0).seconds,
             share = table.number("share", DEFAULT_SHARE),
             factor = table.number("x", 2.0),
-            requests = table.text("class"),
+            requestKind = table.text("class"),
         )
     }
 
-    private fun spread(
+    private fun distribution(
         table: TomlTable,
-        times: Double = 1.0,
-    ) = Spread(table.number("mean", 1.0) * times, table.number("spread", 0.0), table.number("max", Double.MAX_VALUE / times) * times)
+        factor: Double = 1.0,
+    ) = LogNormalDistribution(
+        table.number("mean", 1.0) * factor,
+        table.number("spread", 0.0),
+        table.number("max", Double.MAX_VALUE / factor) * factor,
+    )
 
     private fun TomlTable.tables(key: String): List<TomlTable> = getArray(key)?.asList().orEmpty().filterIsInstance<TomlTable>()
 
@@ -132,8 +136,8 @@
 
     private fun TomlTable.number(
         key: String,
-        other: Double,
-    ): Double = (get(key) as? Number)?.toDouble() ?: other
+        default: Double,
+    ): Double = (get(key) as? Number)?.toDouble() ?: default
 
     private fun TomlTable.numbers(key: String) =
         getArray(key)
@@ -144,6 +148,6 @@
 
     private fun TomlArray.asList() = toList()
 
-    /** Share of the targets that a trouble meets if the file does not say. */
+    /** Default share of the targets that a disturbance affects. */
     private const val DEFAULT_SHARE = 0.15
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/AgentsCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/AgentsCommand.kt
@@ -22,7 +22,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Stands in for many agents and their targets, and counts tasks that start twice. */
+/** Simulates many agents and their targets and counts tasks that start more than once. */
 internal class AgentsCommand : BenchCommand("agents", "Stand in for many agents until SIGTERM and count tasks that start twice") {
     private val count by option(ArgType.Int, "count", description = "Number of agents").required()
     private val entries by option(ArgType.String, "entry", description = "HOST:PORT of an entry; may be given again").multiple()
@@ -31,7 +31,7 @@
     private val zones by option(ArgType.String, "zone", description = "Zone; may be given again").required().multiple()
     private val service by option(ArgType.String, "service", description = "Service of the targets").default("permit-desk")
     private val site by option(ArgType.String, "site", description = "Site of the agents").default("vestland")
-    private val tasksAsTold by option(
+    private val executesSleeps by option(
         ArgType.Boolean,
         "tasks-as-told",
         description = "Tasks sleep as their payload tells; otherwise they end at once",
@@ -42,13 +42,13 @@
         val settings = settings()
         val stop = CompletableDeferred<Unit>()
         listOf("TERM", "INT").forEach { signal -> Signal.handle(Signal(signal)) { stop.complete(Unit) } }
-        val agents = StandInAgents(settings, httpLink(connectTimeout = DIAL_TIME), SystemClock)
+        val agents = StandInAgents(settings, httpLink(connectTimeout = CONNECT_TIMEOUT), SystemClock)
         runBlocking(Dispatchers.Default) {
             agents.start()
             if (seconds > 0) withTimeoutOrNull(seconds.seconds) { report(agents, stop) } else report(agents, stop)
-            agents.stop(LONGEST_TASK)
+            agents.stop(SHUTDOWN_TIMEOUT)
         }
-        println(agents.counts.wording())
+        println(agents.counts.summary())
         println("started above the slots: ${agents.startedAboveSlots}")
         agents.counts.repeated.forEach { (call, starts) -> println("  ${call.submission} ${call.task} ${call.kind}: $starts starts") }
         return if (agents.counts.repeated.isEmpty() && agents.startedAboveSlots == 0) ExitCode.OK else ExitCode.FAILED
@@ -78,15 +78,15 @@
             zones = zones.map { ZoneId(it) },
             service = ServiceId(service),
             site = SiteId(site),
-            sleeps = tasksAsTold,
+            executesSleeps = executesSleeps,
         )
     }
 
     private companion object {
         val REPORT_PERIOD: Duration = 1.seconds
-        val DIAL_TIME = 5.seconds
+        val CONNECT_TIMEOUT = 5.seconds
 
-        /** How long running tasks may take once the agents leave. */
-        val LONGEST_TASK = 5.seconds
+        /** Time for running tasks to end while the agents shut down. */
+        val SHUTDOWN_TIMEOUT = 5.seconds
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/StandInAgents.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/StandInAgents.kt
@@ -24,10 +24,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * What stand-in agents are.
+ * Settings of the simulated agents.
  *
  * @property slots slots of each agent in the configuration of the service
- * @property sleeps whether tasks take the time that their payload tells
+ * @property executesSleeps whether tasks sleep for the time given in their payload
  */
 internal data class StandInSettings(
     val count: Int,
@@ -36,42 +36,42 @@
     val zones: List<ZoneId>,
     val service: ServiceId,
     val site: SiteId,
-    val sleeps: Boolean,
+    val executesSleeps: Boolean,
 )
 
-/** Many agents in one process, spread over the zones in turn, each with a [VirtualTarget]. */
+/** Runs many agents in one process, each with a [VirtualTarget]. Agents are assigned to the zones round-robin. */
 internal class StandInAgents(
     private val settings: StandInSettings,
     client: HttpClient,
     clock: Clock,
 ) {
-    /** What the targets counted. */
+    /** Starts counted by all targets. */
     val counts = StartCounts()
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val shared = EmbeddedAgentContext(client, scope, clock)
-    private val targets = List(settings.count) { VirtualTarget(counts, settings.slots, settings.sleeps) }
+    private val targets = List(settings.count) { VirtualTarget(counts, settings.slots, settings.executesSleeps) }
     private val agents = targets.mapIndexed(::agent)
 
-    /** Agents that may start tasks. */
+    /** Number of agents with a valid permit. */
     val permitted: Int get() = agents.count { it.hasValidPermit }
 
-    /** Tasks that run. */
+    /** Number of running tasks. */
     val running: Int get() = targets.sumOf { it.running }
 
-    /** Tasks that started while all slots of their agent were taken. */
+    /** Number of tasks that started while all slots of their agent were in use. */
     val startedAboveSlots: Int get() = targets.sumOf { it.startedAboveSlots }
 
-    /** Starts the agents, a few at a time so that the entries are not flooded with handshakes. */
+    /** Starts the agents one after another, [START_INTERVAL] apart, so that the entries are not flooded with handshakes. */
     suspend fun start() {
         agents.forEach {
             it.start()
-            delay(START_GAP)
+            delay(START_INTERVAL)
         }
     }
 
-    /** Stops all agents after the tasks that run, which may take up to [longest]. */
-    suspend fun stop(longest: Duration) {
-        coroutineScope { agents.forEach { launch { it.shutDown(longest) } } }
+    /** Stops all agents after their running tasks have ended, which may take up to [timeout]. */
+    suspend fun stop(timeout: Duration) {
+        coroutineScope { agents.forEach { launch { it.shutDown(timeout) } } }
         scope.cancel()
     }
 
@@ -83,7 +83,7 @@
         val zone = settings.zones[index % settings.zones.size]
         return EmbeddedAgent(
             hello = AgentHello(AgentId("stand-in-$number"), IncarnationId.next(), settings.site, zone),
-            target = TargetAnnouncement(TargetId("virtual-$number"), settings.service, NO_ADDRESS),
+            target = TargetAnnouncement(TargetId("virtual-$number"), settings.service, UNUSED_ADDRESS),
             entries = settings.entries,
             shared = shared,
             runner = target,
@@ -91,9 +91,9 @@
     }
 
     private companion object {
-        val START_GAP = 5.milliseconds
+        val START_INTERVAL = 5.milliseconds
 
-        /** Nobody dials a virtual target. */
-        val NO_ADDRESS = Address("127.0.0.1:1")
+        /** Placeholder: nothing connects to a virtual target. */
+        val UNUSED_ADDRESS = Address("127.0.0.1:1")
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/StartCounts.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/StartCounts.kt
@@ -7,28 +7,28 @@
 import java.util.concurrent.ConcurrentHashMap
 import java.util.concurrent.atomic.LongAdder
 
-/** A task or request, whatever the attempt. */
+/** Identifies a task or request across its attempts. */
 internal data class StartedCall(
     val submission: SubmissionId,
     val kind: DispatchKind,
     val task: Int,
 )
 
-/** Counts starts and notes each task that started more than once. Safe for several threads. */
+/** Thread-safe counter of starts that records each task that started more than once. */
 internal class StartCounts {
     private val started = ConcurrentHashMap<Pair<SubmissionId, DispatchKind>, BitSet>()
-    private val again = ConcurrentHashMap<StartedCall, Int>()
-    private val all = LongAdder()
+    private val repeatedStarts = ConcurrentHashMap<StartedCall, Int>()
+    private val totalStarts = LongAdder()
 
-    /** Starts so far, repeated ones too. */
-    val starts: Long get() = all.sum()
+    /** Number of starts so far, including repeated ones. */
+    val starts: Long get() = totalStarts.sum()
 
-    /** Tasks that started more than once, with the number of their starts. */
-    val repeated: Map<StartedCall, Int> get() = again
+    /** Tasks that started more than once with their number of starts. */
+    val repeated: Map<StartedCall, Int> get() = repeatedStarts
 
     /** Counts the start of [call]. */
     fun add(call: TargetCall) {
-        all.increment()
+        totalStarts.increment()
         val tasks = started.computeIfAbsent(call.submission to call.kind) { BitSet() }
         val isFirst =
             synchronized(tasks) {
@@ -37,9 +37,9 @@
                 !isSet
             }
         if (isFirst) return
-        again.merge(StartedCall(call.submission, call.kind, call.task), 2) { count, _ -> count + 1 }
+        repeatedStarts.merge(StartedCall(call.submission, call.kind, call.task), 2) { count, _ -> count + 1 }
     }
 
-    /** The counts in one line. */
-    fun wording(): String = "starts: ${starts - again.values.sum()} once, ${again.size} twice"
+    /** Returns the counts as one line of text. */
+    fun summary(): String = "starts: ${starts - repeatedStarts.values.sum()} once, ${repeatedStarts.size} twice"
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/VirtualTarget.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/VirtualTarget.kt
@@ -8,24 +8,24 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * A target that only waits. It understands `sleep:MILLIS` and `echo:TEXT`, which `;` separates, and echoes other text.
+ * In-process target that interprets payloads of `sleep:MILLIS` and `echo:TEXT` steps separated by `;`. Any other text is echoed.
  *
  * @param counts counts each start
- * @param slots most tasks that may run at once
- * @param sleeps whether it sleeps as told; otherwise a task ends at once
+ * @param slots maximum number of tasks that may run at once
+ * @param executesSleeps whether `sleep` steps are executed; otherwise they return immediately
  */
 internal class VirtualTarget(
     private val counts: StartCounts,
     private val slots: Int,
-    private val sleeps: Boolean,
+    private val executesSleeps: Boolean,
 ) : TaskRunner {
     private val runningTasks = AtomicInteger()
     private val excess = AtomicInteger()
 
-    /** Tasks that run. */
+    /** Number of running tasks. */
     val running: Int get() = runningTasks.get()
 
-    /** Tasks that started while all slots were taken. */
+    /** Number of tasks that started while all slots were in use. */
     val startedAboveSlots: Int get() = excess.get()
 
     override suspend fun run(call: TargetCall): String {
@@ -44,7 +44,7 @@
         for (step in payload.split(';')) {
             val argument = step.substringAfter(':', "")
             when (step.substringBefore(':')) {
-                "sleep" -> if (sleeps) delay(argument.toLong().milliseconds)
+                "sleep" -> if (executesSleeps) delay(argument.toLong().milliseconds)
                 "echo" -> result.append(argument)
                 else -> result.append(step)
             }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditAgent.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditAgent.kt
@@ -6,10 +6,10 @@
 import io.bluebellramp.placement.QueueDemand
 import kotlin.time.Duration
 
-/** An agent that grants its slots by the real policy. */
+/** Simulated agent that grants credits for its slots by the given [GrantPolicy]. */
 internal class CreditAgent(
     val index: Int,
-    private val world: TrialWorld,
+    private val context: TrialContext,
     private val policy: GrantPolicy,
     private val entries: () -> List<CreditEntry>,
 ) {
@@ -23,22 +23,22 @@
         fun view() = EntryCreditState(entry = EntryId("$entry"), unspent = unspent, demand = demand, recalled = recalled)
     }
 
-    private val executor = world.executors[index]
-    private val creditStates = List(world.settings.entries) { CreditState(it) }
+    private val executor = context.executors[index]
+    private val creditStates = List(context.settings.entries) { CreditState(it) }
     private val queued = ArrayDeque<TrialTask>()
     private var inService = true
     private val outbox =
         FrameOutbox(
-            time = world.time,
-            create = ::ToEntry,
-            delay = { world.site.delay(it, index) },
-            seal = { _, frame -> world.tally.message(frame.kind) },
+            time = context.time,
+            create = ::FrameToEntry,
+            delay = { context.site.delay(it, index) },
+            beforeSend = { _, frame -> context.tally.countMessage(frame.kind) },
             deliver = { entry, frame -> entries()[entry].receive(index, frame) },
         )
 
     fun receive(
         entry: Int,
-        frame: ToAgent,
+        frame: FrameToAgent,
     ) {
         val creditState = creditStates[entry]
         frame.demand?.let { creditState.demand = it }
@@ -49,23 +49,23 @@
         grant()
     }
 
-    /** Grants what is free. */
+    /** Grants and recalls credits for the free slots as the policy decides. */
     fun grant() {
         if (!inService) return
         val used = executor.running + queued.size + creditStates.sumOf { it.unspent }
-        val decision = policy.decide(executor.slots + world.settings.tuning.prefetch - used, creditStates.map { it.view() })
+        val decision = policy.decide(executor.slots + context.settings.tuning.prefetch - used, creditStates.map { it.view() })
         decision.grants.forEach { (entry, credits) -> grant(creditStates[entry.value.toInt()], credits) }
         decision.recalls.forEach { (entry, credits) -> recall(creditStates[entry.value.toInt()], credits) }
     }
 
-    /** Stops to start tasks, or starts again. */
+    /** Sets whether the agent may start tasks. Going out of service revokes all credits and refuses the queued tasks. */
     fun setInService(value: Boolean) {
         inService = value
         if (value) return grant()
         creditStates.forEach {
             it.unspent = 0
             it.recalled = 0
-            outbox.to(it.entry).dropped = true
+            outbox.frameTo(it.entry).dropped = true
         }
         queued.forEach { refuse(it) }
         queued.clear()
@@ -93,13 +93,13 @@
         ran: Duration,
         failed: Boolean,
     ) {
-        outbox.to(task.job.entry).outcomes += TrialOutcome(task, ran, failed, notRun = false)
+        outbox.frameTo(task.job.entry).outcomes += TrialOutcome(task, ran, failed, notRun = false)
         startQueued()
         grant()
     }
 
     private fun refuse(task: TrialTask) {
-        outbox.to(task.job.entry).outcomes += TrialOutcome(task, Duration.ZERO, failed = false, notRun = true)
+        outbox.frameTo(task.job.entry).outcomes += TrialOutcome(task, Duration.ZERO, failed = false, notRun = true)
     }
 
     private fun grant(
@@ -107,7 +107,7 @@
         credits: Int,
     ) {
         creditState.unspent += credits
-        outbox.to(creditState.entry).granted += credits
+        outbox.frameTo(creditState.entry).granted += credits
     }
 
     private fun recall(
@@ -115,6 +115,6 @@
         credits: Int,
     ) {
         creditState.recalled += credits
-        outbox.to(creditState.entry).recalled += credits
+        outbox.frameTo(creditState.entry).recalled += credits
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditEntry.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditEntry.kt
@@ -10,25 +10,25 @@
 import io.bluebellramp.placement.QueuedJob
 import kotlin.time.Duration
 
-/** An entry that dispatches against credits, with the real queue and pool. */
+/** Simulated entry that dispatches tasks against credits, with a real [JobQueue] and [CreditPool]. */
 internal class CreditEntry(
     val index: Int,
-    private val world: TrialWorld,
+    private val context: TrialContext,
     private val queue: JobQueue,
     private val pool: CreditPool,
     private val agents: () -> List<CreditAgent>,
 ) {
-    private val time = world.time
+    private val time = context.time
     private val jobs = HashMap<SubmissionId, TrialJob>()
-    private val known = HashMap<Int, QueueDemand>()
+    private val reportedDemands = HashMap<Int, QueueDemand>()
     private val changeFilter = DemandChangeFilter()
-    private val nothing = QueueDemand(tasks = 0, tasksLeft = 0)
+    private val noDemand = QueueDemand(tasks = 0, tasksLeft = 0)
     private val outbox =
         FrameOutbox(
             time = time,
-            create = ::ToAgent,
-            delay = { world.site.delay(index, it) },
-            seal = ::seal,
+            create = ::FrameToAgent,
+            delay = { context.site.delay(index, it) },
+            beforeSend = ::beforeSend,
             deliver = { agent, frame -> agents()[agent].receive(index, frame) },
         )
 
@@ -39,42 +39,42 @@
                 .toList()
         queue.add(QueuedJob(submission = job.submission, team = null, tasks = tasks, arrivedAt = time.now, deadline = Duration.INFINITE))
         dispatch()
-        tellIdleAgents()
+        reportDemandToIdleAgents()
     }
 
     fun cancel(job: TrialJob) {
-        job.stopped = true
+        job.isStopped = true
         queue.remove(job.submission)
         jobs.remove(job.submission)
     }
 
     fun receive(
         agent: Int,
-        frame: ToEntry,
+        frame: FrameToEntry,
     ) {
         frame.outcomes.forEach { ended(agent, it) }
         if (frame.dropped) pool.removeTarget(target(agent))
-        if (frame.granted > 0) pool.grant(target(agent), ZoneId("${world.site.zoneOf(agent)}"), frame.granted)
+        if (frame.granted > 0) pool.grant(target(agent), ZoneId("${context.site.zoneOf(agent)}"), frame.granted)
         dispatch()
         if (frame.recalled > 0) answerRecall(agent, frame.recalled)
     }
 
-    /** Reports demand to the agents that know another. */
-    fun tellAgents() {
+    /** Reports the demand to the agents whose last report differs significantly. */
+    fun reportDemand() {
         val demand = queue.demand(time.now)
-        agents().filter { changeFilter.isSignificant(known[it.index], demand) }.forEach { outbox.to(it.index) }
+        agents().filter { changeFilter.isSignificant(reportedDemands[it.index], demand) }.forEach { outbox.frameTo(it.index) }
     }
 
-    private fun tellIdleAgents() {
+    private fun reportDemandToIdleAgents() {
         if (queue.demand(time.now).tasks == 0) return
-        agents().filter { (known[it.index] ?: nothing).tasks == 0 }.forEach { outbox.to(it.index) }
+        agents().filter { (reportedDemands[it.index] ?: noDemand).tasks == 0 }.forEach { outbox.frameTo(it.index) }
     }
 
     private fun dispatch() {
         while (queue.demand(time.now).tasks > 0) {
             val target = pool.spend(time.now)?.target ?: return
             val pick = checkNotNull(queue.take(time.now))
-            outbox.to(agent(target)).dispatches += TrialTask(jobs.getValue(pick.submission), pick.task)
+            outbox.frameTo(agent(target)).dispatches += TrialTask(jobs.getValue(pick.submission), pick.task)
         }
     }
 
@@ -89,7 +89,7 @@
         }
         pool.taskEnded(target(agent), outcome.ran, outcome.failed, time.now)
         queue.taskEnded(job.submission, outcome.task.index)
-        if (!world.taskEnded(job, outcome.failed)) return
+        if (!context.taskEnded(job, outcome.failed)) return
         queue.remove(job.submission)
         jobs.remove(job.submission)
     }
@@ -98,19 +98,19 @@
         agent: Int,
         credits: Int,
     ) {
-        val frame = outbox.to(agent)
+        val frame = outbox.frameTo(agent)
         frame.returned += pool.withdraw(target(agent), credits)
         frame.answered += credits
     }
 
-    private fun seal(
+    private fun beforeSend(
         agent: Int,
-        frame: ToAgent,
+        frame: FrameToAgent,
     ) {
         val demand = queue.demand(time.now)
-        if (known[agent] != demand) frame.demand = demand
-        known[agent] = demand
-        world.tally.message(frame.kind)
+        if (reportedDemands[agent] != demand) frame.demand = demand
+        reportedDemands[agent] = demand
+        context.tally.countMessage(frame.kind)
     }
 
     private fun target(agent: Int) = TargetId("t$agent")
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditFrames.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditFrames.kt
@@ -3,12 +3,12 @@
 import io.bluebellramp.placement.QueueDemand
 import kotlin.time.Duration
 
-/** What an entry sends to an agent in one message. */
-internal class ToAgent {
+/** Message from an entry to an agent. */
+internal class FrameToAgent {
     val dispatches = ArrayList<TrialTask>()
     var returned = 0
 
-    /** Credits asked back that this message answers, whether or not they are returned. */
+    /** Number of recalled credits that this message answers, whether or not they are returned. */
     var answered = 0
     var demand: QueueDemand? = null
 
@@ -21,7 +21,7 @@
             }
 }
 
-/** How a dispatched task ended at its agent. */
+/** Outcome of a dispatched task at its agent. */
 internal class TrialOutcome(
     val task: TrialTask,
     val ran: Duration,
@@ -29,8 +29,8 @@
     val notRun: Boolean,
 )
 
-/** What an agent sends to an entry in one message. */
-internal class ToEntry {
+/** Message from an agent to an entry. */
+internal class FrameToEntry {
     val outcomes = ArrayList<TrialOutcome>()
     var granted = 0
     var recalled = 0
@@ -46,26 +46,26 @@
             }
 }
 
-/** Collects what is sent to each peer within one event and delivers it as one message after the delay of the link. */
+/** Combines everything sent to a peer within one event into one frame and delivers it after the delay of the link. */
 internal class FrameOutbox<F>(
-    private val time: VirtualTime,
+    private val time: VirtualTimeScheduler,
     private val create: () -> F,
     private val delay: (peer: Int) -> Duration,
-    private val seal: (peer: Int, frame: F) -> Unit,
+    private val beforeSend: (peer: Int, frame: F) -> Unit,
     private val deliver: (peer: Int, frame: F) -> Unit,
 ) {
-    private val open = HashMap<Int, F>()
+    private val openFrames = HashMap<Int, F>()
 
-    /** The message to [peer] that is being filled. */
-    fun to(peer: Int): F =
-        open.getOrPut(peer) {
+    /** Returns the frame to [peer] that is being filled. */
+    fun frameTo(peer: Int): F =
+        openFrames.getOrPut(peer) {
             time.after(Duration.ZERO) { flush(peer) }
             create()
         }
 
     private fun flush(peer: Int) {
-        val frame = open.remove(peer) ?: return
-        seal(peer, frame)
+        val frame = openFrames.remove(peer) ?: return
+        beforeSend(peer, frame)
         time.after(delay(peer)) { deliver(peer, frame) }
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditSystem.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditSystem.kt
@@ -5,24 +5,27 @@
 import io.bluebellramp.placement.JobQueue
 import io.bluebellramp.placement.RunTimeModel
 
-/** The policies of a dispatcher that grants credits. */
+/** Factories for the policies of a credit-based dispatcher. */
 internal class CreditPolicies(
     val queue: (RunTimeModel) -> JobQueue,
     val pool: (RunTimeModel) -> CreditPool,
     val grants: () -> GrantPolicy,
 )
 
-/** Our own way: agents grant credits, entries dispatch against them. */
+/** Credit-based dispatcher: agents grant credits and entries dispatch tasks against them. */
 internal class CreditSystem(
-    private val world: TrialWorld,
+    private val context: TrialContext,
     policies: CreditPolicies,
 ) : TrialSystem {
-    private val agents: List<CreditAgent> = world.executors.map { CreditAgent(it.index, world, policies.grants(), ::entries) }
-    private val entries: List<CreditEntry> = List(world.settings.entries) { entry(it, policies) }
+    private val agents: List<CreditAgent> = context.executors.map { CreditAgent(it.index, context, policies.grants(), ::entries) }
+    private val entries: List<CreditEntry> = List(context.settings.entries) { entry(it, policies) }
 
     init {
         agents.forEach { it.grant() }
-        world.time.every(world.settings.tuning.newsPeriod, wanted = { world.busy }) { entries.forEach { it.tellAgents() } }
+        context.time.every(
+            context.settings.tuning.demandReportPeriod,
+            wanted = { context.isRunning },
+        ) { entries.forEach { it.reportDemand() } }
     }
 
     override fun submit(job: TrialJob) = entries[job.entry].submit(job)
@@ -33,14 +36,14 @@
 
     override fun zoneIn(zone: Int) = agentsOf(zone).forEach { it.setInService(true) }
 
-    private fun agentsOf(zone: Int) = agents.filter { world.site.zoneOf(it.index) == zone }
+    private fun agentsOf(zone: Int) = agents.filter { context.site.zoneOf(it.index) == zone }
 
     private fun entry(
         index: Int,
         policies: CreditPolicies,
     ): CreditEntry {
         val model = RunTimeModel()
-        model.slots = world.site.allSlots
-        return CreditEntry(index = index, world = world, queue = policies.queue(model), pool = policies.pool(model), agents = ::agents)
+        model.slots = context.site.allSlots
+        return CreditEntry(index = index, context = context, queue = policies.queue(model), pool = policies.pool(model), agents = ::agents)
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/PushSystem.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/PushSystem.kt
@@ -3,30 +3,30 @@
 import kotlin.random.Random
 import kotlin.time.Duration
 
-/** How a pushing entry chooses the executor of a task. */
-internal enum class PushChoice {
+/** Strategy by which an entry chooses the executor of a task that it pushes. */
+internal enum class ExecutorChoice {
     RANDOM,
     TWO_CHOICES,
     LEAST_LOADED,
 }
 
-/** Sends each task to an executor as soon as its job arrives; executors queue. The family of the first three baselines. */
+/** Push-based dispatcher: sends each task to an executor as soon as its job arrives, and executors queue them. Used by three baselines. */
 internal class PushSystem(
-    private val world: TrialWorld,
-    private val choice: PushChoice,
+    private val context: TrialContext,
+    private val choice: ExecutorChoice,
     private val reportPeriod: Duration,
 ) : TrialSystem {
-    private val time = world.time
-    private val site = world.site
-    private val random = Random(world.settings.seed)
-    private val queues = world.executors.map { ArrayDeque<TrialTask>() }
+    private val time = context.time
+    private val site = context.site
+    private val random = Random(context.settings.seed)
+    private val queues = context.executors.map { ArrayDeque<TrialTask>() }
     private val zonesOut = HashSet<Int>()
 
-    /** Load of each executor as each entry believes it. */
-    private val believed = List(world.settings.entries) { IntArray(world.executors.size) }
+    /** Load of each executor as estimated by each entry. */
+    private val estimatedLoads = List(context.settings.entries) { IntArray(context.executors.size) }
 
     init {
-        if (choice == PushChoice.LEAST_LOADED) time.every(reportPeriod, wanted = { world.busy }, action = ::report)
+        if (choice == ExecutorChoice.LEAST_LOADED) time.every(reportPeriod, wanted = { context.isRunning }, action = ::report)
     }
 
     override fun submit(job: TrialJob) =
@@ -34,14 +34,14 @@
             .forEach { send(TrialTask(job, it)) }
 
     override fun cancel(job: TrialJob) {
-        job.stopped = true
-        world.executors.forEach { _ -> world.tally.message(MessageKind.CANCEL) }
+        job.isStopped = true
+        context.executors.forEach { _ -> context.tally.countMessage(MessageKind.CANCEL) }
         queues.forEach { queue -> queue.removeAll { it.job === job } }
     }
 
     override fun zoneOut(zone: Int) {
         zonesOut += zone
-        for (executor in world.executors.filter { site.zoneOf(it.index) == zone }) {
+        for (executor in context.executors.filter { site.zoneOf(it.index) == zone }) {
             val queued = queues[executor.index].toList()
             queues[executor.index].clear()
             queued.forEach { refuse(it) }
@@ -53,40 +53,40 @@
     }
 
     private fun refuse(task: TrialTask) {
-        world.tally.message(MessageKind.REFUSAL)
+        context.tally.countMessage(MessageKind.REFUSAL)
         send(task)
     }
 
     private fun send(task: TrialTask) {
-        if (task.job.stopped) return
+        if (task.job.isStopped) return
         val entry = task.job.entry
         val index = choose(entry)
-        believed[entry][index]++
-        world.tally.message(MessageKind.DISPATCH)
+        estimatedLoads[entry][index]++
+        context.tally.countMessage(MessageKind.DISPATCH)
         time.after(site.delay(entry, index)) { arrive(task, index) }
     }
 
     private fun choose(entry: Int): Int {
-        val usable = world.executors.indices.filter { site.zoneOf(it) !in zonesOut }
+        val executorsInService = context.executors.indices.filter { site.zoneOf(it) !in zonesOut }
         return when (choice) {
-            PushChoice.RANDOM -> usable.random(random)
-            PushChoice.TWO_CHOICES -> List(2) { probe(usable) }.minBy { load(it) }
-            PushChoice.LEAST_LOADED -> usable.shuffled(random).minBy { believed[entry][it] }
+            ExecutorChoice.RANDOM -> executorsInService.random(random)
+            ExecutorChoice.TWO_CHOICES -> List(2) { probe(executorsInService) }.minBy { load(it) }
+            ExecutorChoice.LEAST_LOADED -> executorsInService.shuffled(random).minBy { estimatedLoads[entry][it] }
         }
     }
 
-    private fun probe(usable: List<Int>): Int {
-        repeat(2) { world.tally.message(MessageKind.PROBE) }
-        return usable.random(random)
+    private fun probe(executorsInService: List<Int>): Int {
+        repeat(2) { context.tally.countMessage(MessageKind.PROBE) }
+        return executorsInService.random(random)
     }
 
-    private fun load(index: Int) = world.executors[index].running + queues[index].size
+    private fun load(index: Int) = context.executors[index].running + queues[index].size
 
     private fun report() {
-        for (executor in world.executors) {
+        for (executor in context.executors) {
             val load = load(executor.index)
-            believed.forEachIndexed { entry, loads ->
-                world.tally.message(MessageKind.REPORT)
+            estimatedLoads.forEachIndexed { entry, loads ->
+                context.tally.countMessage(MessageKind.REPORT)
                 time.after(site.delay(entry, executor.index)) { loads[executor.index] = load }
             }
         }
@@ -102,10 +102,10 @@
     }
 
     private fun startNext(index: Int) {
-        val executor = world.executors[index]
+        val executor = context.executors[index]
         while (executor.free > 0 && site.zoneOf(index) !in zonesOut) {
             val task = queues[index].removeFirstOrNull() ?: return
-            if (!task.job.stopped) executor.run(task) { _, failed -> ended(task, index, failed) }
+            if (!task.job.isStopped) executor.run(task) { _, failed -> ended(task, index, failed) }
         }
     }
 
@@ -114,8 +114,8 @@
         index: Int,
         failed: Boolean,
     ) {
-        world.tally.message(MessageKind.OUTCOME)
-        time.after(site.delay(task.job.entry, index)) { world.taskEnded(task.job, failed) }
+        context.tally.countMessage(MessageKind.OUTCOME)
+        time.after(site.delay(task.job.entry, index)) { context.taskEnded(task.job, failed) }
         startNext(index)
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialCommand.kt
@@ -16,7 +16,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Runs the placement policies in virtual time and compares them with the ideal and with baselines. */
+/** Simulates the placement policies in virtual time and compares them with the ideal schedule and with baselines. */
 internal class TrialCommand : BenchCommand("trial", "Run the placement policies in virtual time") {
     private val sites by option(ArgType.String, "sites", description = "brekke, ogun").delimiter(",")
     private val scenarios by option(
@@ -74,7 +74,7 @@
     )
 
     private fun tuning() =
-        TrialTuning(prefetch = prefetch, newsPeriod = newsMillis.milliseconds, lateFactor = lateFactor, lateShare = lateShare)
+        TrialTuning(prefetch = prefetch, demandReportPeriod = newsMillis.milliseconds, lateFactor = lateFactor, lateShare = lateShare)
 
     private fun row(
         cell: TrialSettings,
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialExecutor.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialExecutor.kt
@@ -4,18 +4,18 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The slots of one executor.
+ * Simulated executor with a number of slots.
  *
  * @property slowness factor on the run time of its tasks
- * @property failing true if it fails every task soon after its start
+ * @property isFailing whether every task fails shortly after its start
  */
 internal class TrialExecutor(
     val index: Int,
     val slots: Int,
-    private val time: VirtualTime,
+    private val time: VirtualTimeScheduler,
     private val tally: TrialTally,
     private val slowness: Double,
-    private val failing: Boolean,
+    private val isFailing: Boolean,
 ) {
     var running = 0
         private set
@@ -30,17 +30,17 @@
         check(running < slots) { "executor $index has no free slot" }
         running++
         tally.started++
-        val began = time.now
-        val runTime = if (failing) FAILS_AFTER else task.runTime * slowness
+        val startedAt = time.now
+        val runTime = if (isFailing) FAILURE_DELAY else task.runTime * slowness
         time.after(runTime) {
             running--
-            tally.busy(began, time.now)
-            if (failing) tally.failed++
-            ended(runTime, failing)
+            tally.addBusyTime(startedAt, time.now)
+            if (isFailing) tally.failed++
+            ended(runTime, isFailing)
         }
     }
 
     private companion object {
-        val FAILS_AFTER = 10.milliseconds
+        val FAILURE_DELAY = 10.milliseconds
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialJob.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialJob.kt
@@ -4,20 +4,20 @@
 import io.bluebellramp.core.SubmissionId
 import kotlin.time.Duration
 
-/** A job in a trial. */
+/** Job of a trial and its state. */
 internal class TrialJob(
     val plan: JobPlan,
     val submission: SubmissionId,
     val entry: Int,
 ) {
-    /** Tasks that have not ended. */
-    var left = plan.tasks.size
+    /** Number of tasks that have not ended. */
+    var remainingTasks = plan.tasks.size
 
-    /** When the client had the answer, or null if the job was not completed. */
-    var answered: Duration? = null
+    /** When the client received the answer, or null if the job was not completed. */
+    var answeredAt: Duration? = null
 
-    /** True once a task failed or the job was cancelled. */
-    var stopped = false
+    /** Whether a task failed or the job was cancelled. */
+    var isStopped = false
 }
 
 /** One task of a job. */
@@ -25,6 +25,6 @@
     val job: TrialJob,
     val index: Int,
 ) {
-    /** How long it runs on an executor of usual speed. */
+    /** Run time on an executor of normal speed. */
     val runTime: Duration get() = job.plan.tasks[index]
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialPolicy.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialPolicy.kt
@@ -10,14 +10,14 @@
 import io.bluebellramp.placement.RoundRobinGrantPolicy
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A way to place tasks, by the name that the command line gives it. */
+/** Placement policies to compare. [label] is the name on the command line and in reports. */
 internal enum class TrialPolicy(
     val label: String,
-    val create: (TrialWorld) -> TrialSystem,
+    val create: (TrialContext) -> TrialSystem,
 ) {
-    RANDOM("random", { PushSystem(it, PushChoice.RANDOM, STALE) }),
-    TWO_CHOICES("two-choices", { PushSystem(it, PushChoice.TWO_CHOICES, STALE) }),
-    LEAST_LOADED("least-loaded", { PushSystem(it, PushChoice.LEAST_LOADED, STALE) }),
+    RANDOM("random", { PushSystem(it, ExecutorChoice.RANDOM, STALE) }),
+    TWO_CHOICES("two-choices", { PushSystem(it, ExecutorChoice.TWO_CHOICES, STALE) }),
+    LEAST_LOADED("least-loaded", { PushSystem(it, ExecutorChoice.LEAST_LOADED, STALE) }),
     FIRST_COME("first-come", {
         CreditSystem(it, CreditPolicies({ FirstComeFirstServedQueue() }, { LeastRunningPool() }, { RoundRobinGrantPolicy() }))
     }),
@@ -33,6 +33,7 @@
     CURRENT("current", { CreditSystem(it, currentPolicies(it.settings.tuning, PlacementFactory.grantPolicy())) }),
 }
 
+/** Interval between load reports of the executors. */
 private val STALE = 100.milliseconds
 
 private fun currentPolicies(
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialReport.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialReport.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.bench.Percentiles
 import kotlinx.serialization.Serializable
 
-/** The figures of one policy under one load, over all seeds. */
+/** Results of one policy under one load, over all seeds. */
 @Serializable
 internal data class TrialRow(
     val site: String,
@@ -11,31 +11,31 @@
     val load: Double,
     val entries: Int,
     val policy: String,
-    /** Response over the ideal response. */
+    /** Response time divided by the ideal response time. */
     val slowdown: Percentiles,
-    /** The same of jobs of 200 tasks or more. */
+    /** Slowdown of jobs with 200 tasks or more. */
     val wideSlowdown: Percentiles,
     val responseMillis: Percentiles,
     val tasks: Int,
-    /** Probes, refusals and cancels, for each task. */
+    /** Probes, refusals and cancels per task. */
     val wastedPerTask: Double,
-    /** Messages that carry neither a dispatch nor an outcome, for each task. */
+    /** Messages per task that carry neither a dispatch nor an outcome. */
     val controlPerTask: Double,
-    /** Messages that report demand and nothing else, for each task. */
+    /** Messages per task that only report demand. */
     val demandPerTask: Double,
-    /** Credits recalled and returned, as messages for each task. */
+    /** Messages per task that recall or return credits. */
     val recallsPerTask: Double,
-    /** Share of the tasks that a failing worker failed. */
+    /** Share of the tasks that failed on the failing executor. */
     val failedShare: Double,
-    /** Least work done while a zone is out or comes back, over what the slots allow. 0 without a zone change. */
+    /** Least work done while a zone is out of service or returns, divided by what the slots allow. 0 without a zone change. */
     val zoneShare: Double,
 ) {
-    /** Tells the same cell of another report. */
-    fun isLike(other: TrialRow) =
+    /** Returns whether [other] has the same settings and policy. */
+    fun isSameCell(other: TrialRow) =
         site == other.site && scenario == other.scenario && load == other.load && entries == other.entries && policy == other.policy
 
     companion object {
-        /** Sums up the [samples] of [policy], which differ by their seed only. */
+        /** Aggregates the [samples] of [policy], which differ only in their seed. */
         fun of(
             policy: TrialPolicy,
             samples: List<TrialSample>,
@@ -75,11 +75,11 @@
         private fun List<TrialSample>.perTask(
             tasks: Int,
             vararg kinds: MessageKind,
-        ): Double = sumOf { it.tally.count(*kinds) }.toDouble() / tasks
+        ): Double = sumOf { it.tally.messageCount(*kinds) }.toDouble() / tasks
     }
 }
 
-/** The figures of a whole trial. */
+/** Results of a whole trial. */
 @Serializable
 internal data class TrialReport(
     val seconds: Int,
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialRun.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialRun.kt
@@ -8,25 +8,25 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Runs one policy on one set of jobs in virtual time. */
+/** Simulates one policy on one set of jobs in virtual time. */
 internal class TrialRun(
     private val settings: TrialSettings,
     policy: TrialPolicy,
 ) {
     private val site = settings.site
-    private val time = VirtualTime()
+    private val time = VirtualTimeScheduler()
     private val tally = TrialTally()
     private val random = Random(settings.seed)
     private val jobs = settings.jobs().map { job(it) }
-    private val world =
-        TrialWorld(settings = settings, time = time, tally = tally, executors = List(site.executors) { executor(it) }, answer = ::answer)
-    private val system = policy.create(world)
+    private val context =
+        TrialContext(settings = settings, time = time, tally = tally, executors = List(site.executors) { executor(it) }, answer = ::answer)
+    private val system = policy.create(context)
 
-    /** Runs until every job is over. */
+    /** Runs until every job has ended and returns the results. */
     fun run(): TrialSample {
-        val last = jobs.maxOfOrNull { it.plan.at } ?: Duration.ZERO
-        jobs.forEach { job -> time.at(job.plan.at + site.toClients) { system.submit(job) } }
-        time.at(last + site.toClients) { lastArrived() }
+        val last = jobs.maxOfOrNull { it.plan.arrivesAt } ?: Duration.ZERO
+        jobs.forEach { job -> time.at(job.plan.arrivesAt + site.toClients) { system.submit(job) } }
+        time.at(last + site.toClients) { checkFinished() }
         planScenario()
         time.run()
         return TrialSample(
@@ -43,36 +43,36 @@
     }
 
     private fun executor(index: Int): TrialExecutor {
-        val odd = index == 0
+        val isFaulty = index == 0
         return TrialExecutor(
             index = index,
             slots = site.slots,
             time = time,
             tally = tally,
-            slowness = if (odd && settings.scenario == TrialScenario.STRAGGLER) STRAGGLER_SLOWNESS else 1.0,
-            failing = odd && settings.scenario == TrialScenario.FAILING,
+            slowness = if (isFaulty && settings.scenario == TrialScenario.STRAGGLER) STRAGGLER_SLOWNESS else 1.0,
+            isFailing = isFaulty && settings.scenario == TrialScenario.FAILING,
         )
     }
 
     private fun answer(job: TrialJob) {
-        job.answered = time.now + site.toClients
+        job.answeredAt = time.now + site.toClients
     }
 
-    private fun lastArrived() {
-        if (jobs.all { it.left == 0 || it.stopped }) world.busy = false else time.after(CHECK_PERIOD) { lastArrived() }
+    private fun checkFinished() {
+        if (jobs.all { it.remainingTasks == 0 || it.isStopped }) context.isRunning = false else time.after(CHECK_PERIOD) { checkFinished() }
     }
 
     private fun planScenario() {
-        if (settings.scenario == TrialScenario.CANCELS) time.at(settings.changeAt) { cancelHalf() }
+        if (settings.scenario == TrialScenario.CANCELS) time.at(settings.changeAt) { cancelHalfOfOpenJobs() }
         if (settings.scenario == TrialScenario.ZONE) {
             time.at(settings.changeAt) { system.zoneOut(TrialSettings.LEAVING_ZONE) }
             time.at(settings.returnAt) { system.zoneIn(TrialSettings.LEAVING_ZONE) }
         }
     }
 
-    private fun cancelHalf() =
+    private fun cancelHalfOfOpenJobs() =
         jobs
-            .filter { it.plan.at + site.toClients < time.now && it.left > 0 && !it.stopped && random.nextBoolean() }
+            .filter { it.plan.arrivesAt + site.toClients < time.now && it.remainingTasks > 0 && !it.isStopped && random.nextBoolean() }
             .forEach { system.cancel(it) }
 
     private companion object {
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialSettings.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialSettings.kt
@@ -1,13 +1,13 @@
 package io.bluebellramp.bench.trial
 
 import io.bluebellramp.bench.JobPlan
-import io.bluebellramp.bench.SlotsFrom
+import io.bluebellramp.bench.SlotCountChange
 import io.bluebellramp.bench.Workload
 import io.bluebellramp.bench.WorkloadSettings
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What goes on beside the load. */
+/** Condition of the system or its load during a trial. */
 internal enum class TrialScenario {
     PLAIN,
     BURSTS,
@@ -17,7 +17,7 @@
     ZONE,
 }
 
-/** One trial. */
+/** Settings of one trial. */
 internal data class TrialSettings(
     val site: TrialSite,
     val load: Double,
@@ -27,23 +27,23 @@
     val seed: Long,
     val tuning: TrialTuning,
 ) {
-    /** When the zone leaves, or half of the jobs are cancelled. */
+    /** When the zone goes out of service, or half of the open jobs are cancelled. */
     val changeAt: Duration get() = length / 3
 
-    /** When the zone returns. */
+    /** When the zone returns to service. */
     val returnAt: Duration get() = length * 2 / 3
 
-    /** Slots outside the zone that leaves. */
+    /** Number of slots outside the zone that goes out of service. */
     val remainingSlots: Int get() = (0 until site.executors).count { site.zoneOf(it) != LEAVING_ZONE } * site.slots
 
-    /** The slots that a scheduler without faults has. */
-    fun slots(): List<SlotsFrom> {
-        val all = SlotsFrom(at = Duration.ZERO, slots = site.allSlots)
+    /** Number of slots over time that the ideal schedule may use. */
+    fun slots(): List<SlotCountChange> {
+        val all = SlotCountChange(at = Duration.ZERO, slots = site.allSlots)
         if (scenario != TrialScenario.ZONE) return listOf(all)
-        return listOf(all, SlotsFrom(at = changeAt, slots = remainingSlots), SlotsFrom(at = returnAt, slots = site.allSlots))
+        return listOf(all, SlotCountChange(at = changeAt, slots = remainingSlots), SlotCountChange(at = returnAt, slots = site.allSlots))
     }
 
-    /** The jobs that arrive. */
+    /** Generates the jobs of the trial. */
     fun jobs(): List<JobPlan> =
         Workload(
             WorkloadSettings(
@@ -51,28 +51,28 @@
                 slots = site.allSlots,
                 length = length,
                 seed = seed,
-                burstEvery = if (scenario == TrialScenario.BURSTS) BURST_EVERY else null,
+                burstEvery = if (scenario == TrialScenario.BURSTS) BURST_PERIOD else null,
             ),
         ).jobs()
 
     companion object {
-        /** The zone that leaves and returns. */
+        /** The zone that goes out of service and returns. */
         const val LEAVING_ZONE = 0
-        private val BURST_EVERY = 20.seconds
+        private val BURST_PERIOD = 20.seconds
     }
 }
 
 /**
- * Numbers that a trial may vary.
+ * Policy parameters that a trial may vary.
  *
- * @property prefetch places in the short queue of an agent
- * @property newsPeriod time between reports of changed demand
- * @property lateFactor multiple of its ideal response after which a job is late
- * @property lateShare share of the starts for late jobs
+ * @property prefetch tasks that an agent may queue beyond its slots
+ * @property demandReportPeriod time between reports of changed demand
+ * @property lateFactor multiple of its ideal response time after which a job is late
+ * @property lateShare share of the task starts given to late jobs
  */
 internal data class TrialTuning(
     val prefetch: Int,
-    val newsPeriod: Duration,
+    val demandReportPeriod: Duration,
     val lateFactor: Double,
     val lateShare: Double,
 )
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialSite.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialSite.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The machines of a site.
+ * Topology and network delays of a simulated site.
  *
  * @property betweenZones one-way delay between zones
  * @property toClients one-way delay to clients
@@ -23,13 +23,13 @@
     OGUN(betweenZones = 1400.microseconds, toClients = 3.milliseconds),
     ;
 
-    /** Slots of all executors. */
+    /** Number of slots of all executors. */
     val allSlots: Int get() = executors * slots
 
-    /** The zone of the machine number [index]. Entries and executors go round the zones. */
+    /** Returns the zone of the entry or executor [index]. Both are assigned to the zones round-robin. */
     fun zoneOf(index: Int): Int = index % zones
 
-    /** One-way delay between the entry and the executor of these numbers. */
+    /** Returns the one-way delay between [entry] and [executor]. */
     fun delay(
         entry: Int,
         executor: Int,
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialSystem.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialSystem.kt
@@ -1,41 +1,41 @@
 package io.bluebellramp.bench.trial
 
-/** A dispatcher under trial. */
+/** Simulated dispatcher under test. */
 internal interface TrialSystem {
-    /** A job reaches its entry. */
+    /** Called when a job reaches its entry. */
     fun submit(job: TrialJob)
 
-    /** A cancellation of a job reaches its entry. */
+    /** Called when the cancellation of a job reaches its entry. */
     fun cancel(job: TrialJob)
 
-    /** A zone goes out of service. Running tasks end; nothing starts there. */
+    /** Takes a zone out of service. Running tasks continue to their end, and no task starts there. */
     fun zoneOut(zone: Int)
 
-    /** A zone comes back into service. */
+    /** Returns a zone to service. */
     fun zoneIn(zone: Int)
 }
 
-/** What a system under trial is built from. */
-internal class TrialWorld(
+/** State and services shared by the parts of a simulated system. */
+internal class TrialContext(
     val settings: TrialSettings,
-    val time: VirtualTime,
+    val time: VirtualTimeScheduler,
     val tally: TrialTally,
     val executors: List<TrialExecutor>,
     val answer: (TrialJob) -> Unit,
 ) {
     val site get() = settings.site
 
-    /** True while jobs arrive or run. */
-    var busy = true
+    /** Whether jobs still arrive or run. */
+    var isRunning = true
 
-    /** Notes the end of a task, and answers its job if that was the last. Returns true if the job is over. */
+    /** Records the end of a task and answers its job if it was the last one. Returns whether the job is over. */
     fun taskEnded(
         job: TrialJob,
         failed: Boolean,
     ): Boolean {
-        job.left--
-        if (failed) job.stopped = true
-        if (job.left == 0 && !job.stopped) answer(job)
-        return job.left == 0 || job.stopped
+        job.remainingTasks--
+        if (failed) job.isStopped = true
+        if (job.remainingTasks == 0 && !job.isStopped) answer(job)
+        return job.remainingTasks == 0 || job.isStopped
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialTable.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialTable.kt
@@ -1,14 +1,12 @@
 package io.bluebellramp.bench.trial
 
-/** Prints trial figures as a table. */
+/** Prints the results of trials as a table. */
 internal object TrialTable {
     private const val HEADER =
         "site    scenario   load entries policy        median     p90     p99     max wide-max  waste control demand recall failed   zone"
 
-    /** Prints the heading. */
     fun printHeader() = println(HEADER)
 
-    /** Prints one line. */
     fun printRow(row: TrialRow) =
         println(
             "%-7s %-9s %5.2f %7d %-12s %7.3f %7.2f %7.2f %7.1f %8.2f %6.3f %7.2f %6.2f %6.3f %6.4f %6.3f".format(
@@ -31,14 +29,14 @@
             ),
         )
 
-    /** Prints the rows that both reports have, side by side. */
+    /** Prints the rows that occur in both reports side by side. */
     fun printComparison(
         before: TrialReport,
         after: TrialReport,
     ) {
         println("site    scenario   load entries policy       median: before, after    p99: before, after   control: before, after")
         for (row in after.rows) {
-            val old = before.rows.firstOrNull { it.isLike(row) } ?: continue
+            val old = before.rows.firstOrNull { it.isSameCell(row) } ?: continue
             println(
                 "%-7s %-9s %5.2f %7d %-12s %14.3f %8.3f %12.2f %8.2f %14.2f %8.2f".format(
                     row.site,
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialTally.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialTally.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What a message carries. A message that carries several things counts as the first of them here. */
+/** Kind of a message. A message is counted once, by the rules of [FrameToAgent.kind] and [FrameToEntry.kind]. */
 internal enum class MessageKind {
     DISPATCH,
     OUTCOME,
@@ -17,27 +17,27 @@
     CANCEL,
 }
 
-/** Counts messages and task ends of a trial. */
+/** Counts the messages, starts and failures of a trial and the work done in each second. */
 internal class TrialTally {
     private val messages = IntArray(MessageKind.entries.size)
 
-    /** Run time done by executors, by second of the trial. */
+    /** Run time of tasks on all executors in each second of the trial (s). */
     val doneBySecond = ArrayList<Double>()
 
-    /** Tasks that started. */
+    /** Number of tasks that started. */
     var started = 0
 
-    /** Tasks that a failing worker failed. */
+    /** Number of tasks that failed on the failing executor. */
     var failed = 0
 
-    fun message(kind: MessageKind) {
+    fun countMessage(kind: MessageKind) {
         messages[kind.ordinal]++
     }
 
-    fun count(vararg kinds: MessageKind): Int = kinds.sumOf { messages[it.ordinal] }
+    fun messageCount(vararg kinds: MessageKind): Int = kinds.sumOf { messages[it.ordinal] }
 
-    /** Notes that a slot was busy from [from] to [to]. */
-    fun busy(
+    /** Records that a slot was busy from [from] to [to]. */
+    fun addBusyTime(
         from: Duration,
         to: Duration,
     ) {
@@ -46,12 +46,12 @@
             val second = at.inWholeSeconds
             val end = minOf(to, (second + 1).seconds)
             while (doneBySecond.size <= second) doneBySecond += 0.0
-            doneBySecond[second.toInt()] += (end - at).inWholeMicroseconds / MICROS
+            doneBySecond[second.toInt()] += (end - at).inWholeMicroseconds / MICROS_PER_SECOND
             at = end
         }
     }
 
     private companion object {
-        const val MICROS = 1_000_000.0
+        const val MICROS_PER_SECOND = 1_000_000.0
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/VirtualTime.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/VirtualTimeScheduler.kt
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue
 import kotlin.time.Duration
 
-/** Runs events in the order of their virtual time, and in the order of their scheduling at the same time. */
-internal class VirtualTime {
+/** Discrete-event scheduler. Events run in order of their virtual time, and in order of scheduling if their times are equal. */
+internal class VirtualTimeScheduler {
     private class Event(
         val at: Duration,
         val sequence: Long,
@@ -14,11 +14,11 @@
     private val events = PriorityQueue<Event>(compareBy({ it.at }, { it.sequence }))
     private var sequence = 0L
 
-    /** The time of the event that runs. */
+    /** Virtual time of the current event. */
     var now: Duration = Duration.ZERO
         private set
 
-    /** Runs [action] at [at]. */
+    /** Schedules [action] at [at], or at the current time if that is later. */
     fun at(
         at: Duration,
         action: () -> Unit,
@@ -26,13 +26,13 @@
         events += Event(maxOf(at, now), sequence++, action)
     }
 
-    /** Runs [action] after [delay]. */
+    /** Schedules [action] after [delay]. */
     fun after(
         delay: Duration,
         action: () -> Unit,
     ) = at(now + delay, action)
 
-    /** Runs [action] every [period] while [wanted] says so. */
+    /** Runs [action] every [period] as long as [wanted] returns true. */
     fun every(
         period: Duration,
         wanted: () -> Boolean,
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Runs all events up to [end]; without it, until none is left. */
+    /** Runs all events up to [end], by default until none is left. */
     fun run(end: Duration = Duration.INFINITE) {
         while (true) {
             val event = events.poll()?.takeIf { it.at <= end } ?: return
--- a/bench/src/test/kotlin/io/bluebellramp/bench/AnswerCheckTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/AnswerCheckTest.kt
@@ -22,7 +22,7 @@
             service = ServiceId("s"),
             tasks = listOf("0", "1").map { TaskSpecification(id = it, payload = "sleep:5;echo:text-$it") },
         )
-    private val whole = listOf(TaskResult("0", "text-0"), TaskResult("1", "text-1"))
+    private val allResults = listOf(TaskResult("0", "text-0"), TaskResult("1", "text-1"))
 
     private fun complete(
         results: List<TaskResult>?,
@@ -32,16 +32,16 @@
     @Nested
     inner class `a complete answer` {
         @Test
-        fun `with every result in order is right`() = assertNull(AnswerCheck.fault(job, complete(whole)))
+        fun `with every result in order is correct`() = assertNull(AnswerCheck.fault(job, complete(allResults)))
 
         @Test
         fun `is wrong in every other case`() {
             val cases =
                 mapOf(
                     "no results" to complete(null),
-                    "too few" to complete(whole.take(1)),
-                    "other order" to complete(whole.reversed()),
-                    "another job" to complete(whole, of = other),
+                    "too few" to complete(allResults.take(1)),
+                    "other order" to complete(allResults.reversed()),
+                    "another job" to complete(allResults, of = other),
                     "ids of other tasks" to complete(listOf(TaskResult("2", "text-0"), TaskResult("3", "text-1"))),
                     "another text" to complete(listOf(TaskResult("0", "text-0"), TaskResult("1", "text-0"))),
                 )
@@ -55,7 +55,7 @@
         fun `is wrong if it carries results or contradicts itself`() {
             val failed = Answer(submission = submission, outcome = AnswerOutcome.FAILED, startedTasks = 1)
             assertNull(AnswerCheck.fault(job, failed))
-            assertNotNull(AnswerCheck.fault(job, failed.copy(results = whole)))
+            assertNotNull(AnswerCheck.fault(job, failed.copy(results = allResults)))
             assertNotNull(AnswerCheck.fault(job, failed.copy(outcome = AnswerOutcome.NOT_RUN)))
         }
     }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/BenchSettingsTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/BenchSettingsTest.kt
@@ -24,7 +24,7 @@
     }
 
     @Test
-    fun `all errors of a settings file are told with their paths`() {
+    fun `all errors of a settings file are reported with their paths`() {
         val file = file("""{"entries": ["nowhere"], "other": 1}""")
         val message = assertFailsWith<UsageException> { configuredEntries(file) }.message.orEmpty()
         assertContains(message, "$.entries[0]")
@@ -33,7 +33,7 @@
     }
 
     @Test
-    fun `entries have to be named`() {
+    fun `settings without entries are rejected`() {
         assertFailsWith<UsageException> { configuredEntries(null) }
         assertFailsWith<UsageException> { configuredEntries(file("{}")) }
     }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/EntryCallsTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/EntryClientTest.kt
@@ -14,8 +14,8 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-class EntryCallsTest {
-    /** An entry that counts its calls. */
+class EntryClientTest {
+    /** Fake entry that counts the calls it receives. */
     private class FakeEntry {
         @Volatile
         var isReady = true
@@ -38,23 +38,23 @@
 
     private val entries = List(2) { FakeEntry() }
 
-    private fun EntryCalls.callTwice() = runBlocking { repeat(2) { cancel(SubmissionId.create(Instant.EPOCH)) } }
+    private fun EntryClient.sendTwoCalls() = runBlocking { repeat(2) { cancel(SubmissionId.create(Instant.EPOCH)) } }
 
-    private fun EntryCalls.checkNow() = runBlocking { checkReadiness() }
+    private fun EntryClient.updateReadiness() = runBlocking { checkReadiness() }
 
     @Test
-    fun `an entry that is not ready or gone is skipped, and called again once it is ready`() =
-        EntryCalls(entries.map { it.url }).use { calls ->
-            calls.callTwice()
+    fun `entries that are not ready or unreachable are skipped, and called again once they are ready`() =
+        EntryClient(entries.map { it.url }).use { calls ->
+            calls.sendTwoCalls()
             assertEquals(listOf(1, 1), entries.map { it.calls.get() })
             entries[0].isReady = false
-            calls.checkNow()
-            calls.callTwice()
+            calls.updateReadiness()
+            calls.sendTwoCalls()
             assertEquals(listOf(1, 3), entries.map { it.calls.get() })
             entries[0].isReady = true
             entries[1].stop()
-            calls.checkNow()
-            calls.callTwice()
+            calls.updateReadiness()
+            calls.sendTwoCalls()
             assertEquals(listOf(3, 3), entries.map { it.calls.get() })
             entries[0].stop()
         }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/LoadRunTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/LoadRunTest.kt
@@ -29,7 +29,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class LoadRunTest {
-    /** Runs a short load against an entry that does no work and answers by [answer]. */
+    /** Runs a short load against a fake entry that responds to each job with [answer]. */
     private fun loadAgainst(answer: (JobSubmission) -> Any): LoadReport =
         runBlocking {
             val server =
@@ -76,11 +76,11 @@
             pids = emptyList(),
             startsFiles = emptyList(),
             zones = emptyList(),
-            changes = null,
-            history = null,
+            changesFile = null,
+            historyFile = null,
         )
 
-    private fun whole(job: JobSubmission) =
+    private fun completeAnswer(job: JobSubmission) =
         Answer(
             submission = job.submission,
             outcome = AnswerOutcome.COMPLETE,
@@ -90,8 +90,8 @@
     @Nested
     inner class `the report of a load` {
         @Test
-        fun `counts every job and finds nothing wrong with whole answers`() {
-            val report = loadAgainst(::whole)
+        fun `counts every job and reports no complete answer as wrong`() {
+            val report = loadAgainst(::completeAnswer)
             assertTrue(report.jobs > 0)
             assertEquals(listOf(OutcomeCount("complete", report.jobs)), report.jobOutcomes)
             assertEquals(0, report.wrong)
@@ -99,12 +99,12 @@
 
         @Test
         fun `counts each answer that lacks a result as wrong`() {
-            val report = loadAgainst { job -> whole(job).let { it.copy(results = it.results.orEmpty().drop(1)) } }
+            val report = loadAgainst { job -> completeAnswer(job).let { it.copy(results = it.results.orEmpty().drop(1)) } }
             assertEquals(report.jobs, report.wrong)
         }
 
         @Test
-        fun `tells why jobs were refused`() {
+        fun `counts refused jobs by error code`() {
             val report = loadAgainst { ErrorBody(ErrorCode.NOT_READY, "Not ready.") }
             assertEquals(listOf(OutcomeCount("refused not_ready", report.jobs)), report.jobOutcomes)
         }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/RunStartsTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/RecordedStartsTest.kt
@@ -12,19 +12,19 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class RunStartsTest {
+class RecordedStartsTest {
     @TempDir
     lateinit var folder: Path
 
-    private val plan = JobPlan(index = 0, at = Duration.ZERO, tasks = listOf(100.milliseconds, 200.milliseconds))
+    private val plan = JobPlan(index = 0, arrivesAt = Duration.ZERO, tasks = listOf(100.milliseconds, 200.milliseconds))
     private val zone = ZoneId("a")
 
     private fun starts(
         vararg lines: String,
         isNotRun: Boolean = false,
-    ): RunStarts {
+    ): RecordedStarts {
         val file = Files.write(folder.resolve("target-1.txt"), lines.toList())
-        return RunStarts(mapOf("s" to JobResult(plan, 1.seconds, isNotRun)), listOf(file), Instant.ofEpochMilli(1000))
+        return RecordedStarts(mapOf("s" to JobResult(plan, 1.seconds, isNotRun)), listOf(file), Instant.ofEpochMilli(1000))
     }
 
     @Nested
@@ -50,9 +50,9 @@
     inner class `the tasks` {
         @Test
         fun `a task ends when its run time is over, and one that never started when its job is answered`() {
-            val tasks = starts("s 1 0 task 1010").tasks(listOf(ZoneTargets(zone, 1, listOf(folder.resolve("target-1.txt")))))
-            val ran = RanTask(arrived = Duration.ZERO, zone = zone, started = 10.milliseconds, end = 210.milliseconds)
-            val never = RanTask(arrived = Duration.ZERO, zone = null, started = 1.seconds, end = 1.seconds)
+            val tasks = starts("s 1 0 task 1010").taskExecutions(listOf(ZoneTargets(zone, 1, listOf(folder.resolve("target-1.txt")))))
+            val ran = TaskExecution(arrived = Duration.ZERO, zone = zone, started = 10.milliseconds, end = 210.milliseconds)
+            val never = TaskExecution(arrived = Duration.ZERO, zone = null, started = 1.seconds, end = 1.seconds)
             assertEquals(listOf(ran, never), tasks)
         }
     }
@@ -60,7 +60,7 @@
     @Nested
     inner class `a faulty target` {
         @Test
-        fun `runs longer or fails, whatever the payload`() {
+        fun `lengthens the sleep or replaces the payload by a failure`() {
             assertEquals("sleep:250;echo:x", PayloadFault.Slow(5).apply("sleep:50;echo:x"))
             assertEquals("fail:10", PayloadFault.Failing(10).apply("sleep:50;echo:x"))
         }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/StartsTallyTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/StartsTallyTest.kt
@@ -14,7 +14,7 @@
         fun `that started once in each of two jobs is counted once each`() {
             tally.add("a 0 0 task 1")
             tally.add("b 0 0 task 2")
-            assertEquals("starts: 2 once, 0 twice", tally.wording())
+            assertEquals("starts: 2 once, 0 twice", tally.summary())
         }
 
         @Test
@@ -22,11 +22,11 @@
             tally.add("a 0 0 task 1")
             tally.add("a 0 1 task 2")
             tally.add("a 1 0 task 2")
-            assertEquals("starts: 1 once, 1 twice", tally.wording())
+            assertEquals("starts: 1 once, 1 twice", tally.summary())
         }
 
         @Test
-        fun `is told from a request`() {
+        fun `is distinguished from a request with the same number`() {
             tally.add("a 0 0 task 1")
             tally.add("a 0 0 request 2")
             assertEquals(emptyList(), tally.repeated())
@@ -34,7 +34,7 @@
     }
 
     @Nested
-    inner class `a line that is cut short` {
+    inner class `a truncated line` {
         @Test
         fun `is not counted`() = assertFalse(tally.add("a 0 0"))
     }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/WorkloadTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/WorkloadTest.kt
@@ -21,19 +21,19 @@
         }
 
         @Test
-        fun `give the load that was asked for`() {
+        fun `give the configured load`() {
             val work = jobs.fold(Duration.ZERO) { sum, job -> sum + job.work }
             assertTrue(work / (settings.length * settings.slots) in 0.72..0.88)
         }
 
         @Test
-        fun `have the mean width that was asked for`() {
+        fun `have the configured mean width`() {
             assertTrue(jobs.map { it.tasks.size }.average() in 16.0..20.0)
         }
     }
 
     @Nested
-    inner class `a schedule without delay` {
+    inner class `an ideal schedule` {
         private fun job(
             index: Int,
             at: Int,
--- a/bench/src/test/kotlin/io/bluebellramp/bench/ZoneWorkTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/ZoneWorkTest.kt
@@ -20,17 +20,17 @@
         from: Duration,
         to: Duration,
         arrived: Duration = Duration.ZERO,
-    ) = RanTask(arrived = arrived, zone = zone, started = from, end = to)
+    ) = TaskExecution(arrived = arrived, zone = zone, started = from, end = to)
 
-    /** Zone b leaves at 1.5 s and returns at 3 s. */
+    /** Zone b goes out of service at 1.5 s and returns at 3 s. */
     private val changes = listOf(ZoneChange(b, 1500.milliseconds, inService = false), ZoneChange(b, 3.seconds, inService = true))
 
     @Nested
     inner class `work of each second` {
         @Test
         fun `a second is split where a zone changes`() {
-            val cuts = ZoneWork(slots, emptyList(), changes).slices(4.seconds).map { it.fromMillis }
-            assertEquals(listOf(0.0, 1000.0, 1500.0, 2000.0, 3000.0), cuts)
+            val boundaries = ZoneWork(slots, emptyList(), changes).slices(4.seconds).map { it.fromMillis }
+            assertEquals(listOf(0.0, 1000.0, 1500.0, 2000.0, 3000.0), boundaries)
         }
 
         @Test
@@ -58,15 +58,15 @@
     }
 
     @Test
-    fun `without a change of a zone the report tells the work of the whole run`() {
+    fun `without a zone change the report gives the work of the whole run`() {
         val slices = listOf(WorkSlice(0.0, 1000.0, 2, 2.0, 2.0), WorkSlice(1000.0, 2000.0, 2, 1.0, 2.0))
-        assertContains(ZoneWorkReport(emptyList(), slices).wording(), "work in all: 3.0 of 4.0 s, 75.00%")
+        assertContains(ZoneWorkReport(emptyList(), slices).summary(), "work in all: 3.0 of 4.0 s, 75.00%")
     }
 
     @Nested
-    inner class `a zone that leaves and returns` {
+    inner class `a zone that goes out of service and returns` {
         @Test
-        fun `its last start and its first one after its return count from the changes`() {
+        fun `its last start and its first start after the return are relative to the changes`() {
             val tasks = listOf(task(b, 1600.milliseconds, 2.seconds), task(b, 3200.milliseconds, 4.seconds))
             val figures = ZoneWork(slots, tasks, changes).changes().single()
             assertEquals(100.0, figures.lastStartMillis)
@@ -75,7 +75,7 @@
         }
 
         @Test
-        fun `a zone that never works in full again has no time for it`() {
+        fun `a zone that is never fully used again has no time of full use`() {
             val figures = ZoneWork(mapOf(b to 2), listOf(task(b, 3200.milliseconds, 4.seconds)), changes).changes().single()
             assertNull(figures.fullWorkMillis)
             assertNull(figures.lastStartMillis)
@@ -85,9 +85,9 @@
     @Nested
     inner class `a line of the changes file` {
         @Test
-        fun `tells the zone and the time from the start of the run`() {
-            assertEquals(ZoneChange(b, 500.milliseconds, inService = false), zoneChange("1500 out b", startedAtMillis = 1000))
-            assertNull(zoneChange("1500 leader-killed control-1", startedAtMillis = 1000))
+        fun `gives the zone and the time since the start of the run`() {
+            assertEquals(ZoneChange(b, 500.milliseconds, inService = false), parseZoneChange("1500 out b", startedAtMillis = 1000))
+            assertNull(parseZoneChange("1500 leader-killed control-1", startedAtMillis = 1000))
         }
     }
 }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/jobs/JobsTrialTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/jobs/JobsTrialTest.kt
@@ -13,7 +13,7 @@
 class JobsTrialTest {
     private val file = Path.of(checkNotNull(javaClass.getResource("/site.toml")).toURI())
 
-    private fun play(
+    private fun simulate(
         day: String? = null,
         load: Double = 1.0,
         seed: Long = 1,
@@ -22,7 +22,7 @@
     @Nested
     inner class SiteFiles {
         @Test
-        fun `targets, kinds and traffic are read as they are played`() {
+        fun `targets, kinds of requests and traffic are read`() {
             val site = SiteFile.read(file, null)
             assertEquals(listOf(16_000, 16_000, 24_000, 16_000), site.targets.map { it.milliCpu })
             assertEquals(listOf(1.0, 0.9, 1.0, 0.9), site.targets.map { it.speed })
@@ -39,14 +39,14 @@
         }
 
         @Test
-        fun `a day brings its trouble, and what the trial does not model is left out`() {
-            val trouble = SiteFile.read(file, "cut").troubles.single()
-            assertEquals(Trouble.Kind.CUT, trouble.kind)
-            assertEquals(3.seconds, trouble.at)
+        fun `a day has its disturbances, and unknown ones are ignored`() {
+            val disturbance = SiteFile.read(file, "cut").disturbances.single()
+            assertEquals(Disturbance.Kind.CUT, disturbance.kind)
+            assertEquals(3.seconds, disturbance.at)
         }
 
         @Test
-        fun `a day or a file that is not there is named`() {
+        fun `a missing day or file is reported`() {
             assertTrue("no day tuesday" in assertFailsWith<UsageException> { SiteFile.read(file, "tuesday") }.message!!)
             assertTrue("cannot read" in assertFailsWith<UsageException> { SiteFile.read(Path.of("nowhere.toml"), null) }.message!!)
         }
@@ -54,47 +54,47 @@
 
     @Nested
     inner class Callers {
-        private fun all(jobs: List<TrialJob>) = JobsReport.rows(jobs).first()
+        private fun all(jobs: List<SimulatedJob>) = JobsReport.rows(jobs).first()
 
         @Test
-        fun `a seed gives the same day again`() {
-            val first = JobsReport.rows(play(seed = 5))
-            assertEquals(first, JobsReport.rows(play(seed = 5)))
-            assertTrue(first != JobsReport.rows(play(seed = 6)))
+        fun `the same seed gives the same results`() {
+            val first = JobsReport.rows(simulate(seed = 5))
+            assertEquals(first, JobsReport.rows(simulate(seed = 5)))
+            assertTrue(first != JobsReport.rows(simulate(seed = 6)))
         }
 
         @Test
-        fun `at half of the room nearly all jobs end in time`() {
-            val row = all(play())
-            assertTrue(row.inAim >= row.asked * QUIET_AIM, "$row")
+        fun `at half of the capacity nearly all jobs end in time`() {
+            val row = all(simulate())
+            assertTrue(row.inAim >= row.asked * UNDISTURBED_IN_TIME_SHARE, "$row")
             assertEquals(row.asked, row.inAim + row.late + row.refused + row.failed)
         }
 
         @Test
-        fun `a burst beyond the room is refused at once rather than served late`() {
-            val row = all(play(day = "burst", load = 2.0))
+        fun `jobs of a burst beyond the capacity are refused rather than served late`() {
+            val row = all(simulate(day = "burst", load = 2.0))
             assertTrue(row.refused > row.late, "$row")
             assertTrue(row.inAim >= row.asked / 4, "$row")
         }
 
         @Test
-        fun `a target that hangs costs few jobs`() {
-            val row = all(play(day = "hanging"))
-            assertTrue(row.inAim >= row.asked * TROUBLE_AIM, "$row")
+        fun `few jobs miss their objective while a target hangs`() {
+            val row = all(simulate(day = "hanging"))
+            assertTrue(row.inAim >= row.asked * DISTURBED_IN_TIME_SHARE, "$row")
         }
 
         @Test
-        fun `a target that is cut off costs the jobs on it, and serves again afterwards`() {
-            val jobs = play(day = "cut")
-            assertTrue(all(jobs).inAim >= jobs.size * TROUBLE_AIM, "${all(jobs)}")
-            val afterwards = all(jobs.filter { it.arrivedAt > JobsTrial.START_UP + 7.seconds })
-            assertTrue(afterwards.inAim >= afterwards.asked * TROUBLE_AIM, "$afterwards")
+        fun `few jobs miss their objective while a target is cut off, and it serves again afterwards`() {
+            val jobs = simulate(day = "cut")
+            assertTrue(all(jobs).inAim >= jobs.size * DISTURBED_IN_TIME_SHARE, "${all(jobs)}")
+            val afterwards = all(jobs.filter { it.arrivedAt > JobsTrial.START_UP_TIME + 7.seconds })
+            assertTrue(afterwards.inAim >= afterwards.asked * DISTURBED_IN_TIME_SHARE, "$afterwards")
         }
     }
 
     private companion object {
-        /** The share in time that the project aims at, without trouble and with it. */
-        const val QUIET_AIM = 0.90
-        const val TROUBLE_AIM = 0.85
+        /** Minimum share of jobs that must end in time, without and with disturbances. */
+        const val UNDISTURBED_IN_TIME_SHARE = 0.90
+        const val DISTURBED_IN_TIME_SHARE = 0.85
     }
 }
--- a/bench/src/test/kotlin/io/bluebellramp/bench/standin/VirtualTargetTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/standin/VirtualTargetTest.kt
@@ -13,14 +13,13 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-/** A virtual target and what it counts. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class VirtualTargetTest {
     private val counts = StartCounts()
     private val job = SubmissionId.create(Instant.EPOCH)
 
     @Test
-    fun `sleeps as told and echoes`() =
+    fun `sleeps for the given time and echoes`() =
         runTest {
             assertEquals("12-3", target().run(call(task = 0, payload = "sleep:700;echo:12-3")))
             assertEquals(700, currentTime)
@@ -29,7 +28,7 @@
     @Test
     fun `ends at once when it does not sleep`() =
         runTest {
-            assertEquals("a", target(sleeps = false).run(call(task = 0, payload = "sleep:700;echo:a")))
+            assertEquals("a", target(executesSleeps = false).run(call(task = 0, payload = "sleep:700;echo:a")))
             assertEquals(0, currentTime)
         }
 
@@ -42,7 +41,7 @@
             target.run(call(task = 1, attempt = 1))
             target.run(call(task = 1, kind = DispatchKind.REQUEST))
             assertEquals(mapOf(StartedCall(job, DispatchKind.TASK, 1) to 2), counts.repeated)
-            assertEquals("starts: 2 once, 1 twice", counts.wording())
+            assertEquals("starts: 2 once, 1 twice", counts.summary())
         }
 
     @Test
@@ -57,8 +56,8 @@
 
     private fun target(
         slots: Int = 8,
-        sleeps: Boolean = true,
-    ) = VirtualTarget(counts, slots, sleeps)
+        executesSleeps: Boolean = true,
+    ) = VirtualTarget(counts, slots, executesSleeps)
 
     private fun call(
         task: Int,
--- a/bench/src/test/kotlin/io/bluebellramp/bench/trial/TrialRunTest.kt
+++ b/bench/src/test/kotlin/io/bluebellramp/bench/trial/TrialRunTest.kt
@@ -22,7 +22,7 @@
         tuning =
             TrialTuning(
                 prefetch = 0,
-                newsPeriod = 20.milliseconds,
+                demandReportPeriod = 20.milliseconds,
                 lateFactor = FewestTasksLeftQueue.LATE_FACTOR,
                 lateShare = FewestTasksLeftQueue.LATE_SHARE,
             ),
@@ -56,7 +56,7 @@
         }
 
         @Test
-        fun `completes every job while a zone leaves and returns`() {
+        fun `completes every job while a zone goes out of service and returns`() {
             val settings = settings(TrialScenario.ZONE, load = 1.2)
             for (policy in TrialPolicy.entries) assertEquals(settings.jobs().size, run(policy, settings).slowdowns().size, policy.label)
         }
@@ -65,22 +65,22 @@
     @Nested
     inner class `the current policy` {
         @Test
-        fun `wastes under 2 messages in a hundred tasks`() {
+        fun `wastes less than 2 messages per 100 tasks`() {
             assertTrue(row(TrialPolicy.CURRENT, settings()).wastedPerTask < 0.02)
         }
 
         @Test
-        fun `loses under 2 percent of the tasks of a minute to a worker that fails everything`() {
+        fun `fails less than 2 percent of the tasks in a minute with an executor that fails every task`() {
             assertTrue(row(TrialPolicy.CURRENT, settings(TrialScenario.FAILING)).failedShare < 0.02)
         }
 
         @Test
-        fun `does 97 percent of the work that the slots allow while a zone leaves and returns`() {
+        fun `does 97 percent of the work that the slots allow while a zone goes out of service and returns`() {
             assertTrue(row(TrialPolicy.CURRENT, settings(TrialScenario.ZONE, load = 1.2)).zoneShare >= 0.97)
         }
 
         @Test
-        fun `has a shorter tail than each baseline`() {
+        fun `has a lower p99 slowdown than each baseline`() {
             val current = row(TrialPolicy.CURRENT, settings()).slowdown.p99
             val baselines = listOf(TrialPolicy.RANDOM, TrialPolicy.TWO_CHOICES, TrialPolicy.LEAST_LOADED, TrialPolicy.FIRST_COME)
             for (policy in baselines) assertTrue(current < row(policy, settings()).slowdown.p99, policy.label)
