--- a/control/src/main/kotlin/io/bluebellramp/control/ControlMetrics.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ControlMetrics.kt
@@ -10,7 +10,7 @@
 ) {
     val log = control.log
     registry.gauge("bluebellramp_control_term", "Current term of the log") { log.status().term }
-    registry.gauge("bluebellramp_control_leader", "1 while this member leads with a majority") { if (log.holdsMajority()) 1 else 0 }
+    registry.gauge("bluebellramp_control_leader", "1 while this member leads with a majority") { if (log.holdsLeaderLease()) 1 else 0 }
     registry.gauge("bluebellramp_control_role", "0 leader, 1 follower, 2 candidate, 3 learner") { log.status().role.ordinal }
     registry.gauge("bluebellramp_control_commit_index", "Last committed index of the log") { log.status().commitIndex }
     registry.gauge("bluebellramp_control_last_index", "Last index of the log") { log.status().lastIndex }
--- a/control/src/main/kotlin/io/bluebellramp/control/LeaseManager.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/LeaseManager.kt
@@ -41,21 +41,21 @@
      */
     suspend fun answer(request: LeaseRequest): LeaseResponse {
         val arrivedAt = clock.monotonic()
-        if (!log.holdsMajority()) return refusal()
+        if (!log.holdsLeaderLease()) return refusal()
         withTable { it.recordRequest(request, arrivedAt) }
         awaitNewRevision(request)
-        if (!log.holdsMajority()) return refusal()
+        if (!log.holdsLeaderLease()) return refusal()
         return grant(request, arrivedAt)
     }
 
     /** Returns the highest revision in force, or null if this member is not the leader or does not know yet. */
     fun revisionInForce(): Revision? {
-        if (!log.holdsMajority()) return null
+        if (!log.holdsLeaderLease()) return null
         return withTable { it.revisionInForce(machine.configuration.value.revision) }
     }
 
     /** Returns the status of each live entry for operators. */
-    fun statuses(): List<EntryStatus> = if (log.holdsMajority()) withTable { it.statuses() } else emptyList()
+    fun statuses(): List<EntryStatus> = if (log.holdsLeaderLease()) withTable { it.statuses() } else emptyList()
 
     /** Number of entries that may hold an unexpired lease. */
     fun leaseCount(): Int = synchronized(table) { table.leaseCount() }
--- a/control/src/main/kotlin/io/bluebellramp/control/Main.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/Main.kt
@@ -7,7 +7,7 @@
 import io.bluebellramp.replication.LogListener
 import io.bluebellramp.replication.LogMember
 import io.bluebellramp.replication.LogSettings
-import io.bluebellramp.replication.LogStart
+import io.bluebellramp.replication.LogStartResult
 import io.bluebellramp.replication.LogStatus
 import io.bluebellramp.replication.StorageError
 import io.bluebellramp.runtime.Decision
@@ -45,7 +45,9 @@
     val isFounder = !settings.joining && isEmpty(Path.of(settings.dataFolder))
     val member = createLogMember(settings, key, machine, registry)
     val start = runBlocking { member.start() }
-    check(start is LogStart.Started) { "the data folder ${settings.dataFolder} cannot be used: ${(start as LogStart.Refused).error}" }
+    check(start is LogStartResult.Started) {
+        "the data folder ${settings.dataFolder} cannot be used: ${(start as LogStartResult.Refused).error}"
+    }
     val control = Control(settings, member, machine, SystemClock, isFounder)
     registerMetrics(control, registry)
     return ControlProgram(settings, key, control, registry, closeLog = member::close).also { it.start() }
@@ -63,10 +65,10 @@
     val client = settings.memberHttpClient(key, connectTimeout = electionTimeout, timeout = electionTimeout)
     return LogMember(
         self = MemberAddress(settings.member, settings.address),
-        founding = settings.members,
+        foundingMembers = settings.members,
         joining = settings.joining,
         folder = Path.of(settings.dataFolder),
-        machine = machine,
+        stateMachine = machine,
         transport = HttpLogTransport(client),
         clock = SystemClock,
         settings = LogSettings(settings.electionMillis, settings.heartbeatMillis, settings.snapshotRecords),
@@ -89,7 +91,7 @@
 
     override fun onSync(nanos: Long) = syncDurations.observe(nanos / NANOS_PER_SECOND)
 
-    override fun onLeadership(status: LogStatus) {
+    override fun onLeadershipChange(status: LogStatus) {
         val leader = status.leader?.member ?: "none"
         logDecision(Decision(kind = "election", reason = "term ${status.term}: ${status.role.name.lowercase()}, leader $leader"))
     }
--- a/control/src/main/kotlin/io/bluebellramp/control/OperatorRoutes.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/OperatorRoutes.kt
@@ -21,10 +21,10 @@
     forwarder: LeaderForwarder,
 ) {
     get("/v1/config") {
-        if (control.log.holdsMajority()) call.respond(control.machine.configuration.value) else forwarder.forward(call)
+        if (control.log.holdsLeaderLease()) call.respond(control.machine.configuration.value) else forwarder.forward(call)
     }
     get("/v1/status") {
-        val isLocal = control.log.holdsMajority() || call.flag("local")
+        val isLocal = control.log.holdsLeaderLease() || call.flag("local")
         if (isLocal || !forwarder.tryForward(call)) call.respond(control.status())
     }
     post("/v1/changes") {
@@ -33,7 +33,7 @@
         }
     }
     get("/v1/changes/{id}") {
-        if (control.log.holdsMajority()) call.respondChange(control) else forwarder.forward(call)
+        if (control.log.holdsLeaderLease()) call.respondChange(control) else forwarder.forward(call)
     }
     post("/v1/members") {
         call.receiveAsLeader(control, forwarder, "MembershipRequest", MembershipRequest.serializer()) { request, body ->
@@ -52,7 +52,7 @@
 ) {
     val text = receiveText(MAX_OPERATOR_BODY_BYTES) ?: return
     val body = text.toByteArray()
-    if (!control.log.holdsMajority()) return forwarder.forward(this, body)
+    if (!control.log.holdsLeaderLease()) return forwarder.forward(this, body)
     when (val result = decodeStrictly(text, type, serializer)) {
         is DecodedBody.Valid -> {
             handle(result.value, body)
@@ -103,7 +103,7 @@
     val response = control.changes.find(id)
     when {
         response != null -> respond(response)
-        control.log.holdsMajority() -> respondError(HttpStatusCode.NotFound, ErrorCode.NOT_FOUND, "No change $id is remembered.")
+        control.log.holdsLeaderLease() -> respondError(HttpStatusCode.NotFound, ErrorCode.NOT_FOUND, "No change $id is remembered.")
         else -> respondNoLeader()
     }
 }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
@@ -105,7 +105,7 @@
     val silentVoters: Int get() = voterMonitor.silentVoters
 
     /** True if this process sends the state to entries and agents. */
-    val tellsState: Boolean get() = isCurrent
+    val servesState: Boolean get() = isCurrent
 
     /** Status of the log, or null while the disk is unusable. */
     internal val logStatus: LogStatus? get() = log.member?.status()
@@ -153,7 +153,7 @@
     suspend fun read(): OperatorResult = propose(CatalogCommand())
 
     /** Replaces the seed addresses with [next]. */
-    fun useSeeds(next: List<Address>) {
+    fun updateSeeds(next: List<Address>) {
         seeds = next.map { LinkPorts.control(settings, it.host) }
     }
 
--- a/control/src/main/kotlin/io/bluebellramp/control/node/LogSupervisor.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/LogSupervisor.kt
@@ -9,7 +9,7 @@
 import io.bluebellramp.replication.LogListener
 import io.bluebellramp.replication.LogMember
 import io.bluebellramp.replication.LogSettings
-import io.bluebellramp.replication.LogStart
+import io.bluebellramp.replication.LogStartResult
 import io.bluebellramp.replication.LogStatus
 import io.bluebellramp.replication.LogTransport
 import io.bluebellramp.replication.StorageError
@@ -143,18 +143,18 @@
         val log =
             LogMember(
                 self = MemberAddress(identity.member, self),
-                founding = identity.founders,
+                foundingMembers = identity.founders,
                 joining = identity.founders.isEmpty(),
                 folder = folder.resolve(LOG_FOLDER_NAME),
-                machine = machine,
+                stateMachine = machine,
                 transport = transport,
                 clock = clock,
                 settings = LOG_SETTINGS,
                 listener = MemberLogListener(identity),
             )
         return when (val start = log.start()) {
-            LogStart.Started -> log.also { publishStates(it, machine, identity) }
-            is LogStart.Refused -> null.also { handleRefusedStart(start.error) }
+            LogStartResult.Started -> log.also { publishStates(it, machine, identity) }
+            is LogStartResult.Refused -> null.also { handleRefusedStart(start.error) }
         }
     }
 
@@ -190,7 +190,7 @@
     private inner class MemberLogListener(
         private val identity: MemberIdentity,
     ) : LogListener {
-        override fun onLeadership(status: LogStatus) {
+        override fun onLeadershipChange(status: LogStatus) {
             val leader = status.leader?.member ?: "none"
             val reason = "term ${status.term}: ${identity.member} is ${status.role.name.lowercase()}, leader $leader"
             logDecision(Decision(kind = "election", reason = reason))
@@ -213,16 +213,16 @@
         const val SNAPSHOT_RECORDS = 60
 
         /** Several heartbeats. A slow new member is tried again, and one that lost its disk again does not block the next one. */
-        const val LEARNER_SILENCE_MILLIS = 1000L
+        const val LEARNER_TIMEOUT_MILLIS = 1000L
 
         val LOG_SETTINGS =
             LogSettings(
                 electionMillis = ELECTION_MILLIS,
                 heartbeatMillis = HEARTBEAT_MILLIS,
                 snapshotRecords = SNAPSHOT_RECORDS,
-                learnerSilenceMillis = LEARNER_SILENCE_MILLIS,
+                learnerTimeoutMillis = LEARNER_TIMEOUT_MILLIS,
                 electsAtStart = true,
-                namesReceiver = true,
+                messagesCarryReceiverId = true,
             )
 
         /** Delay before the member is started again after a disk failure. */
--- a/control/src/test/kotlin/io/bluebellramp/control/FakeLog.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/FakeLog.kt
@@ -36,7 +36,7 @@
 
     override suspend fun changeMembership(request: MembershipRequest): ProposalResult = ProposalResult.Refused("one member only")
 
-    override fun holdsMajority() = leads
+    override fun holdsLeaderLease() = leads
 
     override fun status() =
         LogStatus(
--- a/replication/src/main/kotlin/io/bluebellramp/replication/Follower.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/Follower.kt
@@ -62,15 +62,17 @@
      * Returns true if requests of [leader] must be ignored: always if the leader is retired or this member is not active.
      *
      * A member that joins with an empty folder also ignores them until a leader without a majority must have stepped down. Otherwise a
-     * member that lost its folder could restore that leader's majority. With [LogSettings.namesReceiver] that leader addresses its
-     * requests to the former id of the member, so no wait is needed.
+     * member that lost its folder could restore that leader's majority. With [LogSettings.messagesCarryReceiverId] that leader addresses
+     * its requests to the former id of the member, so no wait is needed.
      */
     private fun mustIgnore(
         now: Duration,
         leader: MemberAddress,
     ): Boolean {
         if (state.isRetired(leader.member)) return true
-        if (state.vote.joining && log.isEmpty) return !state.settings.namesReceiver && now - startedAt < state.settings.stepDownTimeout * 2
+        if (state.vote.joining && log.isEmpty) {
+            return !state.settings.messagesCarryReceiverId && now - startedAt < state.settings.stepDownTimeout * 2
+        }
         return !state.isActive
     }
 
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogListener.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogListener.kt
@@ -6,7 +6,7 @@
     fun onSync(nanos: Long) = Unit
 
     /** Called when the role of the member or the leader known to it has changed. */
-    fun onLeadership(status: LogStatus) = Unit
+    fun onLeadershipChange(status: LogStatus) = Unit
 
     /** Called when a write to disk failed. The member has stopped and must be restarted or replaced. */
     fun onStorageFailure(error: StorageError) = Unit
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogMember.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogMember.kt
@@ -34,16 +34,16 @@
 /**
  * A member of the replicated log: runs [RaftCore] with a disk, a network and a clock.
  *
- * @param founding the initial members of a new cluster; ignored once the folder holds a membership
+ * @param foundingMembers the initial members of a new cluster; ignored once the folder holds a membership
  * @param joining true for a member that starts with an empty folder and waits to be added to an existing cluster
- * @param machine the replicated state; it is never called concurrently
+ * @param stateMachine the replicated state; it is never called concurrently
  */
 class LogMember internal constructor(
     private val self: MemberAddress,
-    private val founding: List<MemberAddress>,
+    private val foundingMembers: List<MemberAddress>,
     private val joining: Boolean,
     private val storage: LogStorage,
-    private val machine: StateMachine,
+    private val stateMachine: StateMachine,
     private val transport: LogTransport,
     private val clock: Clock,
     private val settings: LogSettings,
@@ -53,15 +53,15 @@
     /** Creates a member that stores its files in [folder]. */
     constructor(
         self: MemberAddress,
-        founding: List<MemberAddress>,
+        foundingMembers: List<MemberAddress>,
         joining: Boolean,
         folder: Path,
-        machine: StateMachine,
+        stateMachine: StateMachine,
         transport: LogTransport,
         clock: Clock,
         settings: LogSettings = LogSettings(),
         listener: LogListener = object : LogListener {},
-    ) : this(self, founding, joining, FileLogStorage(folder, listener::onSync), machine, transport, clock, settings, listener)
+    ) : this(self, foundingMembers, joining, FileLogStorage(folder, listener::onSync), stateMachine, transport, clock, settings, listener)
 
     private val diskDispatcher =
         Executors
@@ -92,11 +92,11 @@
     private var status = LogStatus(Role.LEARNER, 0, null, 0, 0, 0, EMPTY_MEMBERSHIP, emptyMap())
 
     /** Reads the stored state and starts the member. Call it at most once. */
-    suspend fun start(): LogStart =
+    suspend fun start(): LogStartResult =
         when (val result = withContext(diskDispatcher) { storage.open(self.member) }) {
             is StorageOpenResult.Refused -> {
                 close()
-                LogStart.Refused(result.error)
+                LogStartResult.Refused(result.error)
             }
 
             is StorageOpenResult.Opened -> {
@@ -120,7 +120,7 @@
     override suspend fun changeMembership(request: MembershipRequest): ProposalResult =
         submitProposal { core, id -> core.onMembershipChange(clock.monotonic(), id, request) }
 
-    override fun holdsMajority(): Boolean = leaseEnd?.let { clock.monotonic() < it } ?: false
+    override fun holdsLeaderLease(): Boolean = leaseEnd?.let { clock.monotonic() < it } ?: false
 
     override fun status(): LogStatus = status
 
@@ -139,18 +139,18 @@
         return response?.body ?: SnapshotResponse(0, 0, 0, installed = false)
     }
 
-    private suspend fun startCore(stored: StoredState): LogStart {
+    private suspend fun startCore(stored: StoredState): LogStartResult {
         val random = Random(Random.nextLong())
-        val core = RaftCore(self, founding, joining, settings, machine, stored, random, clock.monotonic())
+        val core = RaftCore(self, foundingMembers, joining, settings, stateMachine, stored, random, clock.monotonic())
         val first = core.takeOutput(clock.monotonic())
         val error = withContext(diskDispatcher) { storage.persist(first.writes) }
         if (error != null) {
             close()
-            return LogStart.Refused(error)
+            return LogStartResult.Refused(error)
         }
         core.onSynced(first.sequenceNumber)
         launchLoops(core)
-        return LogStart.Started
+        return LogStartResult.Started
     }
 
     private fun launchLoops(core: RaftCore) {
@@ -198,7 +198,7 @@
     private fun publishStatus(next: LogStatus) {
         val isLeadershipChange = next.role != status.role || next.leader != status.leader
         status = next
-        if (isLeadershipChange) listener.onLeadership(next)
+        if (isLeadershipChange) listener.onLeadershipChange(next)
     }
 
     /** Performs the effects that must wait for a sync: on the disk thread after its writes, or immediately if no write is pending. */
--- a/replication/src/main/kotlin/io/bluebellramp/replication/LogSettings.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/LogSettings.kt
@@ -10,27 +10,27 @@
  * @property heartbeatMillis interval between heartbeats of the leader (ms)
  * @property snapshotRecords number of applied records after which a snapshot replaces them
  * @property maxSnapshotChunkCharacters maximum size of the part of a snapshot that one message carries (characters)
- * @property learnerSilenceMillis longest time that a learner which is to become a voter may leave requests unanswered (ms). After it the
+ * @property learnerTimeoutMillis longest time that a learner which is to become a voter may leave requests unanswered (ms). After it the
  * membership change is abandoned, so that it does not block other changes
  * @property electsAtStart true if a member may vote and start an election immediately after it started. Safe only if nobody relies on
  * the leader's lease, because a restarted member has forgotten that it recently acknowledged a leader
- * @property namesReceiver true if each message carries the id of its receiver and a member whose data folder was emptied returns under a
- * new id. Then no process can answer for another member at the same address, or for the member that lost its state
+ * @property messagesCarryReceiverId true if each message carries the id of its receiver and a member whose data folder was emptied returns
+ * under a new id. Then no process can answer for another member at the same address, or for the member that lost its state
  */
 data class LogSettings(
     val electionMillis: Long = 400,
     val heartbeatMillis: Long = 125,
     val snapshotRecords: Int = 2000,
     val maxSnapshotChunkCharacters: Int = 65_536,
-    val learnerSilenceMillis: Long = 60_000,
+    val learnerTimeoutMillis: Long = 60_000,
     val electsAtStart: Boolean = false,
-    val namesReceiver: Boolean = false,
+    val messagesCarryReceiverId: Boolean = false,
 ) {
     internal val electionTimeout: Duration get() = electionMillis.milliseconds
 
     internal val heartbeatInterval: Duration get() = heartbeatMillis.milliseconds
 
-    internal val learnerTimeout: Duration get() = learnerSilenceMillis.milliseconds
+    internal val learnerTimeout: Duration get() = learnerTimeoutMillis.milliseconds
 
     /** A leader that has no answers from a majority for this long steps down. */
     internal val stepDownTimeout: Duration get() = electionTimeout * 2
--- a/replication/src/main/kotlin/io/bluebellramp/replication/MembershipChanges.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/MembershipChanges.kt
@@ -153,13 +153,15 @@
         }
     }
 
-    /** With [LogSettings.namesReceiver], a member whose folder was emptied may be replaced by a new member at the same address. */
+    /**
+     * With [LogSettings.messagesCarryReceiverId], a member whose folder was emptied may be replaced by a new member at the same address.
+     */
     private fun isAddressInUse(
         address: Address,
         request: MembershipRequest,
     ): Boolean {
         val membersAtAddress = (log.membership.voters + log.membership.learners).filter { it.address == address }
-        val mayShare = state.settings.namesReceiver && request.replaces != null
+        val mayShare = state.settings.messagesCarryReceiverId && request.replaces != null
         return membersAtAddress.any { !mayShare || it.member != request.replaces }
     }
 
--- a/replication/src/main/kotlin/io/bluebellramp/replication/ReplicatedLog.kt
+++ b/replication/src/main/kotlin/io/bluebellramp/replication/ReplicatedLog.kt
@@ -69,7 +69,7 @@
      * Returns true if this member holds the leader's lease: it has applied a record of its own term, and a majority has answered requests
      * that it sent less than the election timeout ago. While this is true, no other leader can have been elected.
      */
-    fun holdsMajority(): Boolean
+    fun holdsLeaderLease(): Boolean
 
     /** Returns the state of the log as this member knows it. */
     fun status(): LogStatus
--- a/replication/src/test/kotlin/io/bluebellramp/replication/FileCluster.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/FileCluster.kt
@@ -56,7 +56,7 @@
     ): LogMember {
         val machine = ListStateMachine()
         val member = LogMember(address(name), foundingMembers, joining, folder(name), machine, this, SystemClock, settings, listener)
-        assertEquals(LogStart.Started, member.start())
+        assertEquals(LogStartResult.Started, member.start())
         members[MemberId(name)] = member
         machines[name] = machine
         return member
@@ -68,7 +68,7 @@
 
     suspend fun leader(): LogMember =
         eventually("a leader") {
-            members.values.find { it.holdsMajority() }
+            members.values.find { it.holdsLeaderLease() }
         }
 
     /** Proposes [command] repeatedly until a leader reports that it is applied. */
--- a/replication/src/test/kotlin/io/bluebellramp/replication/LogMemberTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/LogMemberTest.kt
@@ -136,7 +136,7 @@
                 cluster.stop("a")
                 val other =
                     LogMember(address("b"), listOf(address("b")), false, cluster.folder("a"), ListStateMachine(), cluster, SystemClock)
-                assertIs<StorageError.OtherMember>(assertIs<LogStart.Refused>(other.start()).error)
+                assertIs<StorageError.OtherMember>(assertIs<LogStartResult.Refused>(other.start()).error)
                 Unit
             }
 
@@ -146,7 +146,7 @@
                 cluster.start("a")
                 val other =
                     LogMember(address("a"), listOf(address("a")), false, cluster.folder("a"), ListStateMachine(), cluster, SystemClock)
-                assertIs<StorageError.Locked>(assertIs<LogStart.Refused>(other.start()).error)
+                assertIs<StorageError.Locked>(assertIs<LogStartResult.Refused>(other.start()).error)
                 Unit
             }
     }
@@ -181,7 +181,7 @@
                 member.start()
                 cluster.eventually("failure") { if (member.propose("x") is ProposalResult.Applied) error("accepted") else failure }
                 assertEquals(ProposalResult.NotLeader(null), member.propose("y"))
-                assertEquals(false, member.holdsMajority())
+                assertEquals(false, member.holdsLeaderLease())
                 member.close()
             }
     }
--- a/replication/src/test/kotlin/io/bluebellramp/replication/RaftCoreTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/RaftCoreTest.kt
@@ -26,7 +26,7 @@
 class RaftCoreTest {
     private val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0))
 
-    private fun leader() = cluster.nodes.values.single { it.holdsMajority }
+    private fun leader() = cluster.nodes.values.single { it.holdsLeaderLease }
 
     private fun isolate(node: SimulatedCluster.Node) =
         cluster.nodes.keys.forEach {
@@ -93,12 +93,12 @@
     @Nested
     inner class `a member whose folder was emptied` {
         private fun replaceAtSameAddress(
-            namesReceiver: Boolean,
+            messagesCarryReceiverId: Boolean,
             within: Duration = 8.seconds,
         ): ProposalResult {
-            val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), namesReceiver = namesReceiver)
+            val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), messagesCarryReceiverId = messagesCarryReceiverId)
             cluster.runUntil(3.seconds)
-            val leader = cluster.nodes.values.single { it.holdsMajority }
+            val leader = cluster.nodes.values.single { it.holdsLeaderLease }
             val lost = cluster.nodes.values.first { it !== leader }
             cluster.propose(leader, "before")
             cluster.crash(lost)
@@ -113,17 +113,20 @@
 
         @Test
         fun `is replaced at its own address if messages name their receiver`() {
-            assertIs<ProposalResult.Applied>(replaceAtSameAddress(namesReceiver = true))
+            assertIs<ProposalResult.Applied>(replaceAtSameAddress(messagesCarryReceiverId = true))
         }
 
         @Test
         fun `is replaced within two election timeouts if messages name their receiver`() {
-            assertIs<ProposalResult.Applied>(replaceAtSameAddress(namesReceiver = true, within = 800.milliseconds))
+            assertIs<ProposalResult.Applied>(replaceAtSameAddress(messagesCarryReceiverId = true, within = 800.milliseconds))
         }
 
         @Test
         fun `is not replaced at its own address if another process could answer for it`() {
-            assertEquals("is in use", assertIs<ProposalResult.Refused>(replaceAtSameAddress(namesReceiver = false)).reason.takeLast(9))
+            assertEquals(
+                "is in use",
+                assertIs<ProposalResult.Refused>(replaceAtSameAddress(messagesCarryReceiverId = false)).reason.takeLast(9),
+            )
         }
     }
 
@@ -168,9 +171,10 @@
     inner class `a new member that loses its disk while it is added` {
         @Test
         fun `does not block the member added after it`() {
-            val cluster = SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), namesReceiver = true, learnerSilenceMillis = 1000)
+            val cluster =
+                SimulatedCluster(Random(SEED), 3, NetworkFaults(0.0, 0.0, 0.0), messagesCarryReceiverId = true, learnerTimeoutMillis = 1000)
             cluster.runUntil(3.seconds)
-            val leader = cluster.nodes.values.single { it.holdsMajority }
+            val leader = cluster.nodes.values.single { it.holdsLeaderLease }
             val lost = cluster.nodes.values.first { it !== leader }
             cluster.crash(lost)
             val results = ArrayList<ProposalResult>()
@@ -197,7 +201,7 @@
             val oldLeader = leader()
             isolate(oldLeader)
             advance(3)
-            assertFalse(oldLeader.holdsMajority)
+            assertFalse(oldLeader.holdsLeaderLease)
             assertTrue(oldLeader.core?.role != Role.LEADER)
             assertTrue(leader() !== oldLeader)
         }
@@ -210,7 +214,7 @@
             val last = cluster.nodes.values.last()
             cluster.crash(last)
             advance(10)
-            assertTrue(cluster.nodes.values.none { it.holdsMajority })
+            assertTrue(cluster.nodes.values.none { it.holdsLeaderLease })
             cluster.start(last)
             advance(3)
             leader()
--- a/replication/src/test/kotlin/io/bluebellramp/replication/RaftSimulationTest.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/RaftSimulationTest.kt
@@ -17,11 +17,11 @@
 internal class FaultSimulation(
     seed: Long,
     electsAtStart: Boolean = false,
-    private val namesReceiver: Boolean = false,
+    private val messagesCarryReceiverId: Boolean = false,
 ) {
     private val random = Random(seed)
     private val founderCount = if (random.nextInt(4) == 0) 5 else 3
-    val cluster = SimulatedCluster(random, founderCount, randomNetworkFaults(), electsAtStart, namesReceiver)
+    val cluster = SimulatedCluster(random, founderCount, randomNetworkFaults(), electsAtStart, messagesCarryReceiverId)
     private var commandCount = 0
     private var replacement: MembershipRequest? = null
     private var isChangePending = false
@@ -168,7 +168,7 @@
 
     /**
      * Crashes [node] and starts its replacement. The node restarts under its old id: soon and with an empty disk, or with its old disk
-     * once it is retired. With [namesReceiver], a member never restarts under its old id with an empty disk.
+     * once it is retired. With [messagesCarryReceiverId], a member never restarts under its old id with an empty disk.
      */
     private fun replace(node: SimulatedCluster.Node) {
         val hasAcceptedCommand = cluster.checker.acceptedCount > 0
@@ -178,7 +178,7 @@
         if (random.nextInt(3) > 0) {
             node.disk.wipe()
             node.hasLostDisk = true
-            if (!namesReceiver) cluster.scheduleAfter(random.nextInt(500).milliseconds) { cluster.start(node) }
+            if (!messagesCarryReceiverId) cluster.scheduleAfter(random.nextInt(500).milliseconds) { cluster.start(node) }
         } else {
             excludedMembers += node.id
         }
@@ -196,7 +196,7 @@
 
     private fun checkEnd() {
         check(replacement == null) { "the replacement $replacement did not complete" }
-        check(cluster.nodes.values.count { it.holdsMajority } == 1) { "not exactly one leader at the end: ${cluster.describe()}" }
+        check(cluster.nodes.values.count { it.holdsLeaderLease } == 1) { "not exactly one leader at the end: ${cluster.describe()}" }
         val members = cluster.nodes.values.filter { it.core?.status()?.role in listOf(Role.LEADER, Role.FOLLOWER) && !it.hasLostDisk }
         members.filter { it.id !in retired() && it.id !in excludedMembers }.forEach { cluster.checker.onEnd(it.machine.commands.size) }
         check(cluster.checker.acceptedCount > 0) { "no command was accepted" }
@@ -204,7 +204,7 @@
 
     private fun retired() =
         cluster.nodes.values
-            .first { it.holdsMajority }
+            .first { it.holdsLeaderLease }
             .core!!
             .status()
             .membership.retired
@@ -233,11 +233,11 @@
 
     @Test
     fun `stays linearizable, without the lease guarantee, if messages name their receiver and joining members need not wait`() =
-        runSeeds(electsAtStart = true, namesReceiver = true)
+        runSeeds(electsAtStart = true, messagesCarryReceiverId = true)
 
     private fun runSeeds(
         electsAtStart: Boolean,
-        namesReceiver: Boolean = false,
+        messagesCarryReceiverId: Boolean = false,
     ) {
         var accepted = 0L
         var elections = 0L
@@ -245,7 +245,7 @@
         var secondLosses = 0
         val failures = ArrayList<String>()
         for (seed in seeds) {
-            val simulation = FaultSimulation(seed, electsAtStart, namesReceiver)
+            val simulation = FaultSimulation(seed, electsAtStart, messagesCarryReceiverId)
             runCatching { simulation.run() }.onFailure { failures += "seed $seed: $it" }
             accepted += simulation.cluster.checker.acceptedCount
             elections += simulation.cluster.checker.electionCount
--- a/replication/src/test/kotlin/io/bluebellramp/replication/SimulatedCluster.kt
+++ b/replication/src/test/kotlin/io/bluebellramp/replication/SimulatedCluster.kt
@@ -17,8 +17,8 @@
     founderCount: Int,
     var networkFaults: NetworkFaults,
     electsAtStart: Boolean = false,
-    namesReceiver: Boolean = false,
-    learnerSilenceMillis: Long = 60_000,
+    messagesCarryReceiverId: Boolean = false,
+    learnerTimeoutMillis: Long = 60_000,
 ) {
     /** A simulated member. It keeps its disk and its clock across restarts; the core and the state machine are new after each. */
     inner class Node(
@@ -45,7 +45,7 @@
 
         val id get() = address.member
         val clock get() = now * clockRate + clockOffset
-        val holdsMajority get() = leaseEnd?.let { clock < it } ?: false
+        val holdsLeaderLease get() = leaseEnd?.let { clock < it } ?: false
     }
 
     private class Event(
@@ -61,9 +61,9 @@
             heartbeatMillis = 125,
             snapshotRecords = 15,
             maxSnapshotChunkCharacters = 100,
-            learnerSilenceMillis = learnerSilenceMillis,
+            learnerTimeoutMillis = learnerTimeoutMillis,
             electsAtStart = electsAtStart,
-            namesReceiver = namesReceiver,
+            messagesCarryReceiverId = messagesCarryReceiverId,
         )
     private val events = PriorityQueue(compareBy<Event> { it.time }.thenBy { it.order })
     private val foundingMembers = (0 until founderCount).map { address(('a' + it).toString()) }
@@ -305,7 +305,7 @@
         if (core.role == Role.LEADER) checker.onLeader(node.id, core.term)
         // A member that elects at its start may break a lease that it acknowledged before, so the lease guarantees nothing.
         if (settings.electsAtStart) return
-        val holders = nodes.values.filter { it.holdsMajority }
+        val holders = nodes.values.filter { it.holdsLeaderLease }
         check(holders.size < 2) { "two members report a majority at the same time: ${holders.map { it.id }}" }
         holders.forEach { checker.onMajority(it.id, checkNotNull(it.core).term, it.machine.commands.size) }
     }
