--- a/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
@@ -138,7 +138,7 @@
     }
 
     /** Puts [catalog] in force unless a catalog with a higher number is. */
-    suspend fun put(catalog: Catalog): OperatorResult = propose(CatalogCommand(catalog = catalog))
+    suspend fun replaceCatalog(catalog: Catalog): OperatorResult = propose(CatalogCommand(catalog = catalog))
 
     /** Takes [zone] out of service, or returns it to service. */
     suspend fun setZone(
@@ -150,7 +150,7 @@
      * Reads the state, which includes every change answered before this call. The read goes through the log, because a leader lease is
      * unsafe if this VM was suspended.
      */
-    suspend fun read(): OperatorResult = propose(CatalogCommand())
+    suspend fun readCatalog(): OperatorResult = propose(CatalogCommand())
 
     /** Replaces the seed addresses with [next]. */
     fun updateSeeds(next: List<Address>) {
@@ -238,8 +238,8 @@
         val addresses = (others.map { it.address } + seeds).toSet() - self
         (addresses - dialers.keys).forEach { dial(it) }
         (dialers.keys - addresses).forEach { dialers.remove(it)?.stop() }
-        dialers.values.forEach { it.check(now) }
-        processes.keys.filter { now - it.heardAt > LINK_TIMEOUT }.forEach { it.close() }
+        dialers.values.forEach { it.closeIfSilent(now) }
+        processes.keys.filter { now - it.lastReceivedAt > LINK_TIMEOUT }.forEach { it.close() }
         sendHeartbeats(now)
         broadcastDirectory(status)
         leaderSince = if (status?.role == Role.LEADER) leaderSince ?: now else null
--- a/control/src/test/kotlin/io/bluebellramp/control/node/LoopbackCluster.kt
+++ b/control/src/test/kotlin/io/bluebellramp/control/node/LoopbackCluster.kt
@@ -101,7 +101,7 @@
         }
 
     /** Returns the result of a read at [host]. */
-    fun read(host: String): OperatorResult = runBlocking { running.getValue(host).node.read() }
+    fun read(host: String): OperatorResult = runBlocking { running.getValue(host).node.readCatalog() }
 
     /** Returns the id of the voter at [host], as that process knows it. */
     fun voterId(host: String): String? =
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/JobScheduler.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/JobScheduler.kt
@@ -105,13 +105,13 @@
         trackers[link] = AgentCapacityTracker(link, agent, zone)
     }
 
-    /** Records that [link] is lost. [heardAt] is the time of the last frame received on it. */
+    /** Records that [link] is lost. [lastReceivedAt] is the time of the last frame received on it. */
     fun linkDown(
         link: LinkId,
-        heardAt: Duration,
+        lastReceivedAt: Duration,
     ) {
         trackers.remove(link) ?: return
-        val until = maxOf(heardAt, clock.monotonic() - lostLinkRunTimeout) + lostLinkRunTimeout
+        val until = maxOf(lastReceivedAt, clock.monotonic() - lostLinkRunTimeout) + lostLinkRunTimeout
         for (job in jobs.values) {
             for (task in job.tasks) {
                 if ((task.state as? TaskState.AtAgent)?.link != link) continue
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/AgentNode.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/AgentNode.kt
@@ -98,7 +98,7 @@
         }
         val now = clock.monotonic()
         updateEntries(now)
-        entries.values.forEach { it.dialer.check(now) }
+        entries.values.forEach { it.dialer.closeIfSilent(now) }
         runManager.tick()
         if (now - lastHeartbeatAt < LinkTiming.HEARTBEAT_PERIOD) return
         lastHeartbeatAt = now
@@ -206,7 +206,7 @@
             logDecision(
                 Decision(
                     kind = "entry_lost",
-                    reason = "link to ${dialer.address} closed; last frame received ${clock.monotonic() - link.heardAt} ago",
+                    reason = "link to ${dialer.address} closed; last frame received ${clock.monotonic() - link.lastReceivedAt} ago",
                 ),
             )
             disconnect()
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/EntryNode.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/EntryNode.kt
@@ -117,7 +117,7 @@
         if (!isListening) server.start()
         isListening = true
         val now = clock.monotonic()
-        links.values.filter { now - it.heardAt > LinkTiming.LINK_TIMEOUT }.forEach { it.close() }
+        links.values.filter { now - it.lastReceivedAt > LinkTiming.LINK_TIMEOUT }.forEach { it.close() }
         scheduler.tick()
         if (now - lastHeartbeatAt < LinkTiming.HEARTBEAT_PERIOD) return
         lastHeartbeatAt = now
@@ -182,9 +182,12 @@
             val id = linkIds.remove(link) ?: return
             links.remove(id)
             outbox.remove(id)
-            scheduler.linkDown(id, link.heardAt)
+            scheduler.linkDown(id, link.lastReceivedAt)
             logDecision(
-                Decision(kind = "agent_lost", reason = "link $id closed; last frame received ${clock.monotonic() - link.heardAt} ago"),
+                Decision(
+                    kind = "agent_lost",
+                    reason = "link $id closed; last frame received ${clock.monotonic() - link.lastReceivedAt} ago",
+                ),
             )
         }
 
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/JobSchedulerTest.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/JobSchedulerTest.kt
@@ -216,9 +216,9 @@
             connectAgents(firstLink, secondLink)
             scheduler.submit(request(estimate = 2.seconds, timeout = 10.seconds), caller)
             val link = outputs.dispatches.single().first
-            val heardAt = clock.monotonic()
+            val lastReceivedAt = clock.monotonic()
             clock.advance(300.milliseconds)
-            scheduler.linkDown(link, heardAt)
+            scheduler.linkDown(link, lastReceivedAt)
             clock.advance(lostLinkRunTimeout - 301.milliseconds)
             scheduler.tick()
             assertEquals(1, outputs.dispatches.size)
--- a/transport/src/main/kotlin/io/bluebellramp/transport/FrameDialer.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/FrameDialer.kt
@@ -32,9 +32,9 @@
     fun start() = dial()
 
     /** Closes the link if no frame was received for [silence]. Call it several times in each such interval. */
-    fun check(now: Duration) {
+    fun closeIfSilent(now: Duration) {
         val openLink = link ?: return
-        if (now - openLink.heardAt > silence) openLink.close()
+        if (now - openLink.lastReceivedAt > silence) openLink.close()
     }
 
     /** Closes the link and does not reconnect. */
--- a/transport/src/main/kotlin/io/bluebellramp/transport/FrameLink.kt
+++ b/transport/src/main/kotlin/io/bluebellramp/transport/FrameLink.kt
@@ -35,7 +35,7 @@
     private val clock: Clock,
 ) {
     /** When the last frame was received, or when the link was opened if there was none. */
-    var heardAt: Duration = clock.monotonic()
+    var lastReceivedAt: Duration = clock.monotonic()
         internal set
 
     /** True until the connection is closed by either side. */
@@ -61,7 +61,7 @@
     }
 
     internal fun recordReceipt() {
-        heardAt = clock.monotonic()
+        lastReceivedAt = clock.monotonic()
     }
 
     private companion object {
