--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentOptions.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentOptions.kt
@@ -28,7 +28,7 @@
     val permitTimeout: Duration = 200.milliseconds,
     val recallTimeout: Duration = 2.seconds,
     val announcementTtl: Duration = 2.seconds,
-    val submissionTtl: Duration = SubmissionId.LIFE,
+    val submissionTtl: Duration = SubmissionId.MAX_AGE,
     val maxClockSkew: Duration = 1.minutes,
     val outcomeTtl: Duration = 1.minutes,
     val maxOutcomeBytes: Long = 8L * 1024 * 1024,
--- a/agent/src/main/kotlin/io/bluebellramp/agent/AgentProgram.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/AgentProgram.kt
@@ -9,7 +9,7 @@
 import io.bluebellramp.runtime.Health
 import io.bluebellramp.runtime.RunningProgram
 import io.bluebellramp.runtime.SharedKey
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.bluebellramp.runtime.httpServer
 import io.bluebellramp.runtime.logDecision
 import io.ktor.http.HttpStatusCode
@@ -56,10 +56,10 @@
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val inputs = Channel<AgentInput>(Channel.UNLIMITED)
     private val metrics = AgentMetrics(registry)
-    private val core = AgentCore(AgentHello(settings.agent, IncarnationId.next(), settings.site, settings.zone), clock, options)
+    private val core = AgentCore(AgentHello(settings.agent, IncarnationId.create(), settings.site, settings.zone), clock, options)
     private val snapshots = MutableStateFlow(core.snapshot())
     private val targetClient = TargetClient(clock)
-    private val entryClient = httpLink(key, connectTimeout = ENTRY_CONNECT_TIMEOUT)
+    private val entryClient = createHttpClient(key, connectTimeout = ENTRY_CONNECT_TIMEOUT)
     private val entryConnector = EntryConnector(settings.entries, entryClient, scope, metrics) { inputs.send(it) }
     private val server = httpServer(settings.listen, PermitHealth(), registry, key) { targetRoutes() }
 
--- a/agent/src/main/kotlin/io/bluebellramp/agent/TargetClient.kt
+++ b/agent/src/main/kotlin/io/bluebellramp/agent/TargetClient.kt
@@ -5,7 +5,7 @@
 import io.bluebellramp.messages.TargetAnswer
 import io.bluebellramp.messages.TargetCall
 import io.bluebellramp.messages.TaskReference
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
 import io.ktor.client.statement.HttpResponse
@@ -28,7 +28,7 @@
 internal class TargetClient(
     private val clock: Clock,
 ) : AutoCloseable {
-    private val httpClient = createHttpClient()
+    private val httpClient = createTargetHttpClient()
 
     /** Makes the call of [action] and returns its result. */
     suspend fun call(action: AgentAction.CallTarget): AgentInput.CallEnded {
@@ -81,10 +81,10 @@
         private const val REASON_CHARS = 200
         private const val KEEP_ALIVE_SECONDS = 5
 
-        private fun createHttpClient() =
+        private fun createTargetHttpClient() =
             run {
                 System.setProperty("jdk.httpclient.keepalive.timeout", KEEP_ALIVE_SECONDS.toString())
-                httpLink()
+                createHttpClient()
             }
     }
 }
--- a/agent/src/test/kotlin/io/bluebellramp/agent/AgentProgramTest.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/AgentProgramTest.kt
@@ -10,7 +10,7 @@
 import io.bluebellramp.messages.TargetAnswer
 import io.bluebellramp.messages.TargetCall
 import io.bluebellramp.messages.TaskStatus
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.bluebellramp.runtime.httpServer
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
@@ -69,7 +69,7 @@
             target.start()
             agent.start()
             runBlocking {
-                httpLink().use { client ->
+                createHttpClient().use { client ->
                     client.post("http://$agentAddress/v1/target") {
                         contentType(ContentType.Application.Json)
                         setBody(TargetAnnouncement(TargetId("t1"), ServiceId("render"), targetAddress))
--- a/agent/src/test/kotlin/io/bluebellramp/agent/EntryWebSocketTest.kt
+++ b/agent/src/test/kotlin/io/bluebellramp/agent/EntryWebSocketTest.kt
@@ -1,7 +1,7 @@
 package io.bluebellramp.agent
 
 import io.bluebellramp.core.Address
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import kotlinx.coroutines.runBlocking
 import org.junit.jupiter.api.Nested
@@ -25,7 +25,7 @@
         fun `ends when the entry stops answering without closing it`() {
             ServerSocket(0).use { server ->
                 thread(isDaemon = true) { completeHandshakeAndStopAnswering(server) }
-                httpLink().use { client ->
+                createHttpClient().use { client ->
                     val connection =
                         EntryWebSocket(
                             id = ConnectionId(1),
--- a/bench/src/main/kotlin/io/bluebellramp/bench/BenchSettings.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/BenchSettings.kt
@@ -5,7 +5,7 @@
 import io.bluebellramp.runtime.ExitCode
 import io.bluebellramp.runtime.SettingsReader
 import io.bluebellramp.runtime.SettingsResult
-import io.bluebellramp.runtime.wording
+import io.bluebellramp.runtime.describe
 import java.nio.file.Path
 
 private val settingsReader = SettingsReader("CommandLineSettings", CommandLineSettings.serializer())
@@ -15,7 +15,7 @@
     if (file == null) throw UsageException("--entry or --config is required")
     return when (val result = settingsReader.read(Path.of(file))) {
         is SettingsResult.Valid -> result.settings.entries.ifEmpty { throw UsageException("$file names no entries") }
-        is SettingsResult.Invalid -> throw UsageException(result.violations.joinToString("\n") { "$file: ${it.wording()}" })
+        is SettingsResult.Invalid -> throw UsageException(result.violations.joinToString("\n") { "$file: ${it.describe()}" })
     }
 }
 
--- a/bench/src/main/kotlin/io/bluebellramp/bench/EntryCalls.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/EntryCalls.kt
@@ -6,7 +6,7 @@
 import io.bluebellramp.messages.ErrorBody
 import io.bluebellramp.messages.JobSubmission
 import io.bluebellramp.messages.RequestSubmission
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.request.get
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
@@ -46,8 +46,8 @@
 internal class EntryCalls(
     private val entries: List<String>,
 ) : AutoCloseable {
-    private val client = httpLink()
-    private val readinessClient = httpLink(connectTimeout = READINESS_TIMEOUT, timeout = READINESS_TIMEOUT)
+    private val client = createHttpClient()
+    private val readinessClient = createHttpClient(connectTimeout = READINESS_TIMEOUT, timeout = READINESS_TIMEOUT)
     private val turn = AtomicInteger()
 
     @Volatile
--- a/bench/src/main/kotlin/io/bluebellramp/bench/FaultyTargetCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/FaultyTargetCommand.kt
@@ -6,7 +6,7 @@
 import io.bluebellramp.messages.TargetCall
 import io.bluebellramp.runtime.ExitCode
 import io.bluebellramp.runtime.Health
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.bluebellramp.runtime.httpServer
 import io.ktor.client.request.delete
 import io.ktor.client.request.post
@@ -76,7 +76,7 @@
     private val target: Address,
     private val fault: PayloadFault,
 ) {
-    private val link = httpLink()
+    private val link = createHttpClient()
 
     /** Serves until the process ends. */
     fun run() {
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/AgentsCommand.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/AgentsCommand.kt
@@ -9,7 +9,7 @@
 import io.bluebellramp.core.SystemClock
 import io.bluebellramp.core.ZoneId
 import io.bluebellramp.runtime.ExitCode
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import kotlinx.cli.ArgType
 import kotlinx.cli.default
 import kotlinx.cli.multiple
@@ -42,7 +42,7 @@
         val settings = settings()
         val stop = CompletableDeferred<Unit>()
         listOf("TERM", "INT").forEach { signal -> Signal.handle(Signal(signal)) { stop.complete(Unit) } }
-        val agents = StandInAgents(settings, httpLink(connectTimeout = DIAL_TIME), SystemClock)
+        val agents = StandInAgents(settings, createHttpClient(connectTimeout = DIAL_TIME), SystemClock)
         runBlocking(Dispatchers.Default) {
             agents.start()
             if (seconds > 0) withTimeoutOrNull(seconds.seconds) { report(agents, stop) } else report(agents, stop)
--- a/bench/src/main/kotlin/io/bluebellramp/bench/standin/StandInAgents.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/standin/StandInAgents.kt
@@ -82,7 +82,7 @@
         val number = index + 1
         val zone = settings.zones[index % settings.zones.size]
         return EmbeddedAgent(
-            hello = AgentHello(AgentId("stand-in-$number"), IncarnationId.next(), settings.site, zone),
+            hello = AgentHello(AgentId("stand-in-$number"), IncarnationId.create(), settings.site, zone),
             target = TargetAnnouncement(TargetId("virtual-$number"), settings.service, NO_ADDRESS),
             entries = settings.entries,
             shared = shared,
--- a/cli/src/main/kotlin/io/bluebellramp/cli/ApplyChange.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/ApplyChange.kt
@@ -7,7 +7,7 @@
 import io.bluebellramp.messages.ChangeResponse
 import io.bluebellramp.messages.ConfigurationView
 import io.bluebellramp.runtime.ExitCode
-import io.bluebellramp.runtime.wording
+import io.bluebellramp.runtime.describe
 import java.util.UUID
 
 /** Submits the change that [edit] fills in, and prints its outcome. Returns the exit code. */
@@ -40,7 +40,7 @@
             " of $it"
         }.orEmpty()}"
 
-        ChangeOutcome.INVALID -> violations.joinToString("\n", prefix = "invalid:\n") { "  ${it.wording()}" }
+        ChangeOutcome.INVALID -> violations.joinToString("\n", prefix = "invalid:\n") { "  ${it.describe()}" }
     }
 
 private fun ChangeResponse.acceptedText(): String {
--- a/cli/src/main/kotlin/io/bluebellramp/cli/CommonOptions.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/CommonOptions.kt
@@ -5,7 +5,7 @@
 import io.bluebellramp.runtime.ExitCode
 import io.bluebellramp.runtime.SettingsReader
 import io.bluebellramp.runtime.SettingsResult
-import io.bluebellramp.runtime.wording
+import io.bluebellramp.runtime.describe
 import kotlinx.cli.ArgParser
 import kotlinx.cli.ArgType
 import kotlinx.cli.default
@@ -31,8 +31,12 @@
         val settings =
             when (val result = file?.let { settingsReader.read(Path.of(it)) }) {
                 null -> CommandLineSettings()
+
                 is SettingsResult.Valid -> result.settings
-                is SettingsResult.Invalid -> return SessionResult.Invalid(result.violations.joinToString("\n") { "$file: ${it.wording()}" })
+
+                is SettingsResult.Invalid -> return SessionResult.Invalid(
+                    result.violations.joinToString("\n") { "$file: ${it.describe()}" },
+                )
             }
         val invalidAddresses = listOfNotNull(controls, entries).flatMap { it.split(',') }.filterNot(addressPattern::matches)
         if (invalidAddresses.isNotEmpty()) return SessionResult.Invalid("not HOST:PORT: ${invalidAddresses.joinToString()}")
@@ -55,6 +59,6 @@
     if (file == null) return usageError("$PROGRAM: --check needs --config FILE")
     return when (val result = settingsReader.read(Path.of(file))) {
         is SettingsResult.Valid -> println("$file: no errors").let { ExitCode.OK }
-        is SettingsResult.Invalid -> usageError(result.violations.joinToString("\n") { "$file: ${it.wording()}" })
+        is SettingsResult.Invalid -> usageError(result.violations.joinToString("\n") { "$file: ${it.describe()}" })
     }
 }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/Output.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/Output.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.messages.ErrorBody
 import io.bluebellramp.runtime.ExitCode
-import io.bluebellramp.runtime.wording
+import io.bluebellramp.runtime.describe
 import kotlinx.serialization.KSerializer
 import kotlinx.serialization.json.Json
 
@@ -42,7 +42,7 @@
             println(prettyJson.encodeToString(ErrorBody.serializer(), error))
         } else {
             System.err.println("refused: ${error.message}")
-            error.violations.forEach { System.err.println("  ${it.wording()}") }
+            error.violations.forEach { System.err.println("  ${it.describe()}") }
         }
         return ExitCode.REFUSED
     }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/SessionResult.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/SessionResult.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.messages.CommandLineSettings
 import io.bluebellramp.runtime.SharedKey
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 
 /** The session for the settings and options of a command, or the error in them. */
 internal sealed interface SessionResult {
@@ -26,7 +26,7 @@
         ): SessionResult =
             try {
                 val key = settings.keyFile?.let { SharedKey.read(it, LOOPBACK) }
-                Open(Session(http = httpLink(key), settings = settings, output = Output(json)))
+                Open(Session(http = createHttpClient(key), settings = settings, output = Output(json)))
             } catch (e: Exception) {
                 Invalid("key file: ${e.message}")
             }
--- a/cli/src/main/kotlin/io/bluebellramp/cli/SubmitCommand.kt
+++ b/cli/src/main/kotlin/io/bluebellramp/cli/SubmitCommand.kt
@@ -10,7 +10,7 @@
 import io.bluebellramp.runtime.ExitCode
 import io.bluebellramp.runtime.SettingsReader
 import io.bluebellramp.runtime.SettingsResult
-import io.bluebellramp.runtime.wording
+import io.bluebellramp.runtime.describe
 import kotlinx.cli.ArgParser
 import kotlinx.cli.ArgType
 import kotlinx.cli.default
@@ -66,7 +66,7 @@
     private fun readJob(path: String): JobSubmission? =
         when (val result = jobReader.read(Path.of(path))) {
             is SettingsResult.Valid -> result.settings
-            is SettingsResult.Invalid -> usageError(result.violations.joinToString("\n") { "$path: ${it.wording()}" }).let { null }
+            is SettingsResult.Invalid -> usageError(result.violations.joinToString("\n") { "$path: ${it.describe()}" }).let { null }
         }
 }
 
--- a/cli/src/test/kotlin/io/bluebellramp/cli/EntryClientTest.kt
+++ b/cli/src/test/kotlin/io/bluebellramp/cli/EntryClientTest.kt
@@ -8,7 +8,7 @@
 import io.bluebellramp.messages.ErrorCode
 import io.bluebellramp.messages.JobSubmission
 import io.bluebellramp.messages.TaskSpecification
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import kotlinx.coroutines.runBlocking
 import org.junit.jupiter.api.Nested
 import java.io.Closeable
@@ -33,7 +33,8 @@
             val disconnecting = FakeEntry(answer = null)
             val healthy = FakeEntry(answer = """{"submission":"$id","outcome":"complete","results":[]}""")
             listOf(disconnecting, healthy).useAll {
-                val result = runBlocking { httpLink().use { EntryClient(it, listOf(disconnecting.address, healthy.address)).submit(job) } }
+                val result =
+                    runBlocking { createHttpClient().use { EntryClient(it, listOf(disconnecting.address, healthy.address)).submit(job) } }
                 assertEquals(AnswerOutcome.COMPLETE, assertIs<CallResult.Success<Answer>>(result).value.outcome)
                 assertEquals(1, disconnecting.bodies.size)
                 assertEquals(disconnecting.bodies, healthy.bodies)
@@ -47,7 +48,7 @@
         fun `gives an answer, not a refusal`() {
             val entry = FakeEntry(answer = """{"submission":"$id","outcome":"not_run"}""", status = 429)
             listOf(entry).useAll {
-                val result = runBlocking { httpLink().use { EntryClient(it, listOf(entry.address)).submit(job) } }
+                val result = runBlocking { createHttpClient().use { EntryClient(it, listOf(entry.address)).submit(job) } }
                 assertEquals(AnswerOutcome.NOT_RUN, assertIs<CallResult.Success<Answer>>(result).value.outcome)
             }
         }
@@ -61,7 +62,8 @@
                 val first = FakeEntry(answer = """{"code":"$code","message":""}""", status = 503)
                 val second = FakeEntry(answer = """{"submission":"$id","outcome":"complete","results":[]}""")
                 listOf(first, second).useAll {
-                    val result = runBlocking { httpLink().use { EntryClient(it, listOf(first.address, second.address)).submit(job) } }
+                    val result =
+                        runBlocking { createHttpClient().use { EntryClient(it, listOf(first.address, second.address)).submit(job) } }
                     assertEquals(AnswerOutcome.COMPLETE, assertIs<CallResult.Success<Answer>>(result, code).value.outcome)
                     assertEquals(first.bodies, second.bodies)
                 }
@@ -78,7 +80,7 @@
             val first = FakeEntry(answer = unknownIdError, status = 404)
             val second = FakeEntry(answer = """{"submission":"$id","outcome":"not_run"}""")
             listOf(first, second).useAll {
-                val result = runBlocking { httpLink().use { EntryClient(it, listOf(first.address, second.address)).cancel(id) } }
+                val result = runBlocking { createHttpClient().use { EntryClient(it, listOf(first.address, second.address)).cancel(id) } }
                 assertEquals(AnswerOutcome.NOT_RUN, assertIs<CallResult.Success<Answer>>(result).value.outcome)
             }
         }
@@ -87,7 +89,7 @@
         fun `is sent to each entry once if none knows the id`() {
             val entries = List(2) { FakeEntry(answer = unknownIdError, status = 404) }
             entries.useAll {
-                val result = runBlocking { httpLink().use { http -> EntryClient(http, entries.map { it.address }).cancel(id) } }
+                val result = runBlocking { createHttpClient().use { http -> EntryClient(http, entries.map { it.address }).cancel(id) } }
                 assertEquals(ErrorCode.NOT_FOUND, assertIs<CallResult.Refused>(result).error.code)
                 assertEquals(listOf(1, 1), entries.map { it.bodies.size })
             }
@@ -101,7 +103,8 @@
             val withoutCounts = FakeEntry(answer = """{"submission":"$id"}""", status = 202)
             val owner = FakeEntry(answer = """{"submission":"$id","tasks":5,"tasksDone":2}""", status = 202)
             listOf(withoutCounts, owner).useAll {
-                val pending = runBlocking { httpLink().use { EntryClient(it, listOf(withoutCounts.address, owner.address)).progress(id) } }
+                val pending =
+                    runBlocking { createHttpClient().use { EntryClient(it, listOf(withoutCounts.address, owner.address)).progress(id) } }
                 assertEquals(5 to 2, pending?.tasks to pending?.tasksDone)
             }
         }
--- a/control/src/main/kotlin/io/bluebellramp/control/BoundHttpClient.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/BoundHttpClient.kt
@@ -3,7 +3,7 @@
 import io.bluebellramp.core.Address
 import io.bluebellramp.messages.ControlSettings
 import io.bluebellramp.runtime.SharedKey
-import io.bluebellramp.runtime.configureLink
+import io.bluebellramp.runtime.configureHttpClient
 import io.ktor.client.HttpClient
 import io.ktor.client.engine.okhttp.OkHttp
 import okhttp3.Dispatcher
@@ -60,7 +60,7 @@
                 writeTimeout(0, TimeUnit.MILLISECONDS)
             }
         }
-        configureLink(key, connectTimeout, timeout = null)
+        configureHttpClient(key, connectTimeout, timeout = null)
     }
 
 /** Creates sockets that are bound to [sourceAddress]. */
--- a/control/src/main/kotlin/io/bluebellramp/control/ClaimTable.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/ClaimTable.kt
@@ -221,7 +221,7 @@
         private const val MAX_INTERNED_HOLDERS = 10_000
 
         /** Maximum lifetime of a submission, counted from the timestamp in its id. */
-        val SUBMISSION_LIFETIME = SubmissionId.LIFE
+        val SUBMISSION_LIFETIME = SubmissionId.MAX_AGE
 
         /** Maximum difference between the clocks of callers, entries and members. */
         val MAX_CLOCK_SKEW = SubmissionId.CLOCK_SKEW
--- a/control/src/main/kotlin/io/bluebellramp/control/HttpBodies.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/HttpBodies.kt
@@ -44,7 +44,7 @@
 /** Reads the body as text of at most [maxBodyBytes]. On failure, sends an error response and returns null. */
 internal suspend fun ApplicationCall.receiveText(maxBodyBytes: Long): String? {
     when (val body = readBody(maxBodyBytes)) {
-        is BodyResult.Whole -> {
+        is BodyResult.Complete -> {
             return body.text
         }
 
@@ -56,7 +56,7 @@
             )
         }
 
-        BodyResult.Cut -> {
+        BodyResult.Truncated -> {
             respondError(HttpStatusCode.BadRequest, ErrorCode.INVALID_BODY, "The body is cut short or is not UTF-8.")
         }
     }
--- a/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
@@ -66,7 +66,7 @@
 ) : AutoCloseable {
     private val self = LinkPorts.control(settings, settings.host)
     private var seeds = settings.seeds.map { LinkPorts.control(settings, it.host) }
-    private val incarnation = IncarnationId.next()
+    private val incarnation = IncarnationId.create()
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val dialers = HashMap<Address, FrameDialer>()
     private val processes = HashMap<FrameLink, ProcessHello>()
--- a/control/src/main/kotlin/io/bluebellramp/control/node/MemberIdentity.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/MemberIdentity.kt
@@ -47,7 +47,7 @@
                 if (isFounding && self in seeds) {
                     MemberIdentity(founderId(self), seeds.map { MemberAddress(founderId(it), it) })
                 } else {
-                    MemberIdentity(MemberId("${founderId(self)}-${IncarnationId.next()}"), emptyList())
+                    MemberIdentity(MemberId("${founderId(self)}-${IncarnationId.create()}"), emptyList())
                 }
             store(folder, file, WireJson.encodeToString(created))
             return created
--- a/core/src/main/kotlin/io/bluebellramp/core/Ids.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/Ids.kt
@@ -98,7 +98,7 @@
         private const val ID_BYTES = 8
 
         /** Returns a new random id. */
-        fun next(): IncarnationId {
+        fun create(): IncarnationId {
             val bytes = ByteArray(ID_BYTES)
             random.nextBytes(bytes)
             return IncarnationId(HexFormat.of().formatHex(bytes))
--- a/core/src/main/kotlin/io/bluebellramp/core/SubmissionId.kt
+++ b/core/src/main/kotlin/io/bluebellramp/core/SubmissionId.kt
@@ -10,7 +10,7 @@
 /**
  * Identifies a submission, which is a job or a single request. The caller chooses it.
  *
- * It is a UUID version 7 (RFC 9562), which contains the time of its creation. Ids older than [LIFE] are refused, so that
+ * It is a UUID version 7 (RFC 9562), which contains the time of its creation. Ids older than [MAX_AGE] are refused, so that
  * processes need to remember submissions only for that long.
  */
 @Serializable
@@ -29,7 +29,7 @@
 
     companion object {
         /** How long after the time in its id a submission may be claimed, started or queried. */
-        val LIFE = 10.minutes
+        val MAX_AGE = 10.minutes
 
         /** How far in the future the time in an id may be, because the clocks of callers and processes differ. */
         val CLOCK_SKEW = 5.seconds
--- a/entry/src/main/kotlin/io/bluebellramp/entry/CallerApi.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/CallerApi.kt
@@ -102,7 +102,7 @@
 
     private suspend fun ApplicationCall.submit(parse: (String) -> ParseResult) {
         when (val body = readBody(bodyBytes)) {
-            is BodyResult.Whole -> {
+            is BodyResult.Complete -> {
                 when (val result = parse(body.text)) {
                     is ParseResult.Valid -> accept(result.submission)
                     is ParseResult.Invalid -> respondError(result.error)
@@ -113,7 +113,7 @@
                 respondError(errorAt("$", ErrorCode.BODY_TOO_LARGE, "The body must be at most $bodyBytes bytes."))
             }
 
-            BodyResult.Cut -> {
+            BodyResult.Truncated -> {
                 respondError(errorAt("$", ErrorCode.INVALID_BODY, "The body is cut short or is not UTF-8."))
             }
         }
--- a/entry/src/main/kotlin/io/bluebellramp/entry/EntryProgram.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/EntryProgram.kt
@@ -8,7 +8,7 @@
 import io.bluebellramp.runtime.Health
 import io.bluebellramp.runtime.RunningProgram
 import io.bluebellramp.runtime.SharedKey
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.bluebellramp.runtime.httpServer
 import io.prometheus.metrics.model.registry.PrometheusRegistry
 import kotlinx.coroutines.CoroutineScope
@@ -35,11 +35,11 @@
     Health {
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val key = SharedKey.read(settings.keyFile, settings.listen.host)
-    private val http = httpLink(key)
+    private val http = createHttpClient(key)
     private val identity =
         EntryIdentity(
             entry = settings.entry,
-            incarnation = IncarnationId.next(),
+            incarnation = IncarnationId.create(),
             address = settings.listen,
             site = settings.site,
             zone = settings.zone,
--- a/entry/src/main/kotlin/io/bluebellramp/entry/PeerApi.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/PeerApi.kt
@@ -47,7 +47,7 @@
     }
 
     private suspend fun ApplicationCall.importAnswers() {
-        val body = readBody(MAX_HANDOVER_BYTES) as? BodyResult.Whole ?: return respond(HttpStatusCode.BadRequest)
+        val body = readBody(MAX_HANDOVER_BYTES) as? BodyResult.Complete ?: return respond(HttpStatusCode.BadRequest)
         val handover =
             try {
                 WireJson.decodeFromString(AnswerHandover.serializer(), body.text)
--- a/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionParser.kt
+++ b/entry/src/main/kotlin/io/bluebellramp/entry/SubmissionParser.kt
@@ -187,7 +187,7 @@
         private val ID_PATTERN = Regex("^[a-z0-9][a-z0-9.-]{0,62}$")
 
         /** The members keep a claim for longer than this after the time in its id, so a repeated id is still recognized. */
-        private val MAX_AGE: Duration = SubmissionId.LIFE.toJavaDuration()
+        private val MAX_AGE: Duration = SubmissionId.MAX_AGE.toJavaDuration()
 
         /** The voting members give no verdict on an id whose time is further in the future. */
         private val MAX_CLOCK_SKEW: Duration = SubmissionId.CLOCK_SKEW.toJavaDuration()
--- a/entry/src/test/kotlin/io/bluebellramp/entry/EntryProgramTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/EntryProgramTest.kt
@@ -19,7 +19,7 @@
 import io.bluebellramp.messages.RequestSubmission
 import io.bluebellramp.messages.TaskSpecification
 import io.bluebellramp.messages.TaskStatus
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.request.get
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
@@ -237,7 +237,7 @@
                 val other = startSecondEntry()
                 val path = "/v1/jobs/${SubmissionId.create(Instant.now())}/cancel"
                 assertEquals(ErrorCode.NOT_FOUND, post(path, "", other).error().code)
-                val gone = EntryPeer(EntryId("e3"), IncarnationId.next(), freeAddress(), SiteId("vestland"))
+                val gone = EntryPeer(EntryId("e3"), IncarnationId.create(), freeAddress(), SiteId("vestland"))
                 control.peers[gone.entry.value] = gone
                 while (post(path, "", other).error().code != ErrorCode.OWNER_UNREACHABLE) delay(5)
             }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/FakeAgent.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/FakeAgent.kt
@@ -19,7 +19,7 @@
 import io.bluebellramp.messages.TargetState
 import io.bluebellramp.messages.TaskOutcome
 import io.bluebellramp.messages.TaskStatus
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.plugins.websocket.webSocket
 import io.ktor.websocket.Frame
 import io.ktor.websocket.WebSocketSession
@@ -47,8 +47,8 @@
     val permits = CopyOnWriteArrayList<Permit>()
     val frames = CopyOnWriteArrayList<EntryFrame>()
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
-    private val http = httpLink()
-    val incarnation = IncarnationId.next()
+    private val http = createHttpClient()
+    val incarnation = IncarnationId.create()
 
     fun start(): FakeAgent {
         scope.launch {
--- a/entry/src/test/kotlin/io/bluebellramp/entry/InvalidInputTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/InvalidInputTest.kt
@@ -10,7 +10,7 @@
 import io.bluebellramp.messages.EntrySettings
 import io.bluebellramp.messages.ErrorBody
 import io.bluebellramp.messages.ErrorCode
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
 import io.ktor.client.statement.bodyAsText
--- a/entry/src/test/kotlin/io/bluebellramp/entry/LocalEntry.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/LocalEntry.kt
@@ -9,7 +9,7 @@
 import io.bluebellramp.messages.EntrySettings
 import io.bluebellramp.messages.JobSubmission
 import io.bluebellramp.messages.TaskSpecification
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.runBlocking
@@ -27,7 +27,7 @@
 ) {
     val control = FakeControl()
     val address = freeAddress()
-    val http = httpLink()
+    val http = createHttpClient()
     val entry = newEntry("e1", address, drainMillis).start()
     private val otherEntries = ArrayList<EntryProgram>()
     private var isEntryStopped = false
--- a/entry/src/test/kotlin/io/bluebellramp/entry/OverloadTest.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/OverloadTest.kt
@@ -13,7 +13,7 @@
 import io.bluebellramp.messages.ErrorCode
 import io.bluebellramp.messages.JobSubmission
 import io.bluebellramp.messages.TaskSpecification
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
 import io.ktor.client.statement.HttpResponse
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/AgentNode.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/AgentNode.kt
@@ -42,7 +42,7 @@
         ProcessHello(
             settings.node,
             ProcessRole.AGENT,
-            IncarnationId.next(),
+            IncarnationId.create(),
             settings.zone,
             Address("${settings.host}:${settings.firstPort}"),
         )
--- a/jobs/src/main/kotlin/io/bluebellramp/jobs/node/EntryNode.kt
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/node/EntryNode.kt
@@ -40,7 +40,7 @@
     private val clock: Clock,
 ) {
     private val address = LinkPorts.entry(settings, settings.host)
-    private val hello = ProcessHello(settings.node, ProcessRole.ENTRY, IncarnationId.next(), settings.zone, address)
+    private val hello = ProcessHello(settings.node, ProcessRole.ENTRY, IncarnationId.create(), settings.zone, address)
     private val links = HashMap<LinkId, FrameLink>()
     private val linkIds = HashMap<FrameLink, LinkId>()
     private val outbox = LinkedHashMap<LinkId, PendingDispatches>()
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/HttpLink.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/CreateHttpClient.kt
@@ -23,18 +23,18 @@
  * @param key sent with every request if not null
  * @param timeout limit on the duration of a whole request; null for no limit, for long-polling calls
  */
-fun httpLink(
+fun createHttpClient(
     key: SharedKey? = null,
     connectTimeout: Duration = 1.seconds,
     timeout: Duration? = null,
 ): HttpClient =
     HttpClient(Java) {
         engine { protocolVersion = Version.HTTP_1_1 }
-        configureLink(key, connectTimeout, timeout)
+        configureHttpClient(key, connectTimeout, timeout)
     }
 
-/** Configures JSON bodies, WebSockets, timeouts and the key of a client with any engine. See [httpLink] for the parameters. */
-fun HttpClientConfig<*>.configureLink(
+/** Configures JSON bodies, WebSockets, timeouts and the key of a client with any engine. See [createHttpClient] for the parameters. */
+fun HttpClientConfig<*>.configureHttpClient(
     key: SharedKey?,
     connectTimeout: Duration,
     timeout: Duration?,
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/Program.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/Program.kt
@@ -69,7 +69,7 @@
     val settings =
         when (val result = reader.read(Path.of(file))) {
             is SettingsResult.Valid -> result.settings
-            is SettingsResult.Invalid -> exitWithUsageError(result.violations.joinToString("\n") { "$file: ${it.wording()}" })
+            is SettingsResult.Invalid -> exitWithUsageError(result.violations.joinToString("\n") { "$file: ${it.describe()}" })
         }
     if (check) {
         println("$file: no errors")
@@ -90,7 +90,7 @@
         }
 
         is SettingsResult.Invalid -> {
-            val reason = result.violations.joinToString("; ") { it.wording() }
+            val reason = result.violations.joinToString("; ") { it.describe() }
             logDecision(Decision(kind = "reload_refused", reason = "the settings file is invalid and was not applied: $reason"))
         }
     }
@@ -103,7 +103,7 @@
 ): Path? = folder?.let { Path.of(it, "$name-$instance.log") }
 
 /** Returns the violation as one line of text. */
-fun Violation.wording(): String = "$path: $message"
+fun Violation.describe(): String = "$path: $message"
 
 private fun exitWithUsageError(message: String): Nothing {
     System.err.println(message)
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/RequestBody.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/RequestBody.kt
@@ -14,7 +14,7 @@
 /** The result of reading a request body. */
 sealed interface BodyResult {
     /** The body arrived completely. */
-    data class Whole(
+    data class Complete(
         val text: String,
     ) : BodyResult
 
@@ -22,7 +22,7 @@
     data object TooLarge : BodyResult
 
     /** The connection closed early, the body did not arrive completely within [BODY_TIMEOUT], or it is not UTF-8. */
-    data object Cut : BodyResult
+    data object Truncated : BodyResult
 }
 
 private val BODY_TIMEOUT = 10.seconds
@@ -36,17 +36,17 @@
             withTimeoutOrNull(BODY_TIMEOUT) { receiveChannel().readRemaining(limit + 1).readByteArray() }
         } catch (_: IOException) {
             null
-        } ?: return BodyResult.Cut
+        } ?: return BodyResult.Truncated
     if (bytes.size > limit) return BodyResult.TooLarge
-    if (contentLength != null && bytes.size < contentLength) return BodyResult.Cut
+    if (contentLength != null && bytes.size < contentLength) return BodyResult.Truncated
     return try {
-        BodyResult.Whole(
+        BodyResult.Complete(
             Charsets.UTF_8
                 .newDecoder()
                 .decode(ByteBuffer.wrap(bytes))
                 .toString(),
         )
     } catch (_: CharacterCodingException) {
-        BodyResult.Cut
+        BodyResult.Truncated
     }
 }
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpLinkTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/CreateHttpClientTest.kt
@@ -15,7 +15,7 @@
 import kotlin.test.assertEquals
 import kotlin.test.assertFails
 
-class HttpLinkTest {
+class CreateHttpClientTest {
     /** Responds to the first request of each connection and closes the connection after reading a second one. */
     private class ClosingServer : AutoCloseable {
         private val server = ServerSocket(0, 50, InetAddress.getLoopbackAddress())
@@ -64,7 +64,7 @@
         fun `fails the call without sending the request again`() {
             ClosingServer().use { server ->
                 runBlocking {
-                    httpLink().use { http ->
+                    createHttpClient().use { http ->
                         assertEquals("ok", http.post(server.url) { setBody("first") }.bodyAsText())
                         assertFails { http.post(server.url) { setBody("second") } }
                     }
--- a/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpServerTest.kt
+++ b/runtime/src/test/kotlin/io/bluebellramp/runtime/HttpServerTest.kt
@@ -66,7 +66,7 @@
         @Test
         fun `receives its response`() =
             withServer { url ->
-                httpLink().use { http ->
+                createHttpClient().use { http ->
                     coroutineScope {
                         val get = async { http.get("$url/held") }
                         val post = async { http.post("$url/held") { setBody("body") } }
@@ -87,7 +87,7 @@
                 .register(registry)
                 .inc()
             withServer { url ->
-                httpLink().use { http ->
+                createHttpClient().use { http ->
                     assertEquals(HttpStatusCode.OK, http.get("$url/live").status)
                     assertEquals(HttpStatusCode.ServiceUnavailable, http.get("$url/ready").status)
                     assertTrue("answers_total 1.0" in http.get("$url/metrics").bodyAsText())
@@ -98,7 +98,7 @@
         @Test
         fun `with a key rejects calls without it, but serves its health`() =
             withServer(SharedKey("0123456789abcdef")) { url ->
-                httpLink().use { http ->
+                createHttpClient().use { http ->
                     assertEquals(HttpStatusCode.Unauthorized, http.get("$url/quick").status)
                     assertEquals(
                         HttpStatusCode.OK,
--- a/samples/src/main/kotlin/io/bluebellramp/samples/TargetAnnouncer.kt
+++ b/samples/src/main/kotlin/io/bluebellramp/samples/TargetAnnouncer.kt
@@ -2,7 +2,7 @@
 
 import io.bluebellramp.core.Address
 import io.bluebellramp.messages.TargetAnnouncement
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.request.delete
 import io.ktor.client.request.post
 import io.ktor.client.request.setBody
@@ -20,7 +20,7 @@
     private val agent: Address,
     private val announcement: TargetAnnouncement,
 ) : AutoCloseable {
-    private val httpClient = httpLink(timeout = 1.seconds)
+    private val httpClient = createHttpClient(timeout = 1.seconds)
     private val url = "http://$agent/v1/target"
 
     /** Announces the target every [ANNOUNCEMENT_PERIOD] until cancelled, also while the agent cannot be reached. */
--- a/samples/src/test/kotlin/io/bluebellramp/samples/SampleTargetTest.kt
+++ b/samples/src/test/kotlin/io/bluebellramp/samples/SampleTargetTest.kt
@@ -10,7 +10,7 @@
 import io.bluebellramp.messages.TargetAnswer
 import io.bluebellramp.messages.TargetCall
 import io.bluebellramp.runtime.Health
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.bluebellramp.runtime.httpServer
 import io.ktor.client.call.body
 import io.ktor.client.request.post
@@ -77,7 +77,7 @@
                     call.respond(HttpStatusCode.OK)
                 }
             }
-        private val client = httpLink()
+        private val client = createHttpClient()
         private var target: SampleTarget? = null
 
         @BeforeEach
