--- a/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/node/ControlNode.kt
@@ -66,7 +66,7 @@
 ) : AutoCloseable {
     private val self = LinkPorts.control(settings, settings.host)
     private var seeds = settings.seeds.map { LinkPorts.control(settings, it.host) }
-    private val incarnation = IncarnationId.next()
+    private val incarnation = IncarnationId.create()
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
     private val dialers = HashMap<Address, FrameDialer>()
     private val processes = HashMap<FrameLink, ProcessHello>()
@@ -105,7 +105,7 @@
     val silentVoters: Int get() = voterMonitor.silentVoters
 
     /** True if this process sends the state to entries and agents. */
-    val tellsState: Boolean get() = isCurrent
+    val servesState: Boolean get() = isCurrent
 
     /** Status of the log, or null while the disk is unusable. */
     internal val logStatus: LogStatus? get() = log.member?.status()
@@ -138,7 +138,7 @@
     }
 
     /** Puts [catalog] in force unless a catalog with a higher number is. */
-    suspend fun put(catalog: Catalog): OperatorResult = propose(CatalogCommand(catalog = catalog))
+    suspend fun replaceCatalog(catalog: Catalog): OperatorResult = propose(CatalogCommand(catalog = catalog))
 
     /** Takes [zone] out of service, or returns it to service. */
     suspend fun setZone(
@@ -150,10 +150,10 @@
      * Reads the state, which includes every change answered before this call. The read goes through the log, because a leader lease is
      * unsafe if this VM was suspended.
      */
-    suspend fun read(): OperatorResult = propose(CatalogCommand())
+    suspend fun readCatalog(): OperatorResult = propose(CatalogCommand())
 
     /** Replaces the seed addresses with [next]. */
-    fun useSeeds(next: List<Address>) {
+    fun updateSeeds(next: List<Address>) {
         seeds = next.map { LinkPorts.control(settings, it.host) }
     }
 
@@ -238,8 +238,8 @@
         val addresses = (others.map { it.address } + seeds).toSet() - self
         (addresses - dialers.keys).forEach { dial(it) }
         (dialers.keys - addresses).forEach { dialers.remove(it)?.stop() }
-        dialers.values.forEach { it.check(now) }
-        processes.keys.filter { now - it.heardAt > LINK_TIMEOUT }.forEach { it.close() }
+        dialers.values.forEach { it.closeIfSilent(now) }
+        processes.keys.filter { now - it.lastReceivedAt > LINK_TIMEOUT }.forEach { it.close() }
         sendHeartbeats(now)
         broadcastDirectory(status)
         leaderSince = if (status?.role == Role.LEADER) leaderSince ?: now else null
