--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditAgent.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/CreditAgent.kt
@@ -1,83 +1,83 @@
 package io.bluebellramp.bench.trial
 
 import io.bluebellramp.core.EntryId
-import io.bluebellramp.placement.EntryStanding
+import io.bluebellramp.placement.EntryCreditState
 import io.bluebellramp.placement.GrantPolicy
 import io.bluebellramp.placement.QueueDemand
 import kotlin.time.Duration
 
-/** An agent that grants its slots by the real policy. */
+/** Simulated agent that grants credits for its slots by the given [GrantPolicy]. */
 internal class CreditAgent(
     val index: Int,
-    private val world: TrialWorld,
+    private val context: TrialContext,
     private val policy: GrantPolicy,
     private val entries: () -> List<CreditEntry>,
 ) {
-    private class Standing(
+    private class CreditState(
         val entry: Int,
     ) {
         var unspent = 0
         var recalled = 0
         var demand = QueueDemand(tasks = 0, tasksLeft = 0)
 
-        fun view() = EntryStanding(entry = EntryId("$entry"), unspent = unspent, demand = demand, recalled = recalled)
+        fun view() = EntryCreditState(entry = EntryId("$entry"), unspent = unspent, demand = demand, recalled = recalled)
     }
 
-    private val executor = world.executors[index]
-    private val standings = List(world.settings.entries) { Standing(it) }
+    private val executor = context.executors[index]
+    private val creditStates = List(context.settings.entries) { CreditState(it) }
     private val queued = ArrayDeque<TrialTask>()
     private var inService = true
     private val outbox =
         FrameOutbox(
-            time = world.time,
-            create = ::ToEntry,
-            delay = { world.site.delay(it, index) },
-            seal = { _, frame -> world.tally.message(frame.kind) },
+            time = context.time,
+            create = ::FrameToEntry,
+            delay = { context.site.delay(it, index) },
+            beforeSend = { _, frame -> context.tally.countMessage(frame.kind) },
             deliver = { entry, frame -> entries()[entry].receive(index, frame) },
         )
 
     fun receive(
         entry: Int,
-        frame: ToAgent,
+        frame: FrameToAgent,
     ) {
-        val standing = standings[entry]
-        frame.demand?.let { standing.demand = it }
-        frame.dispatches.forEach { accept(standing, it) }
-        standing.unspent -= frame.returned
-        standing.recalled = maxOf(0, standing.recalled - frame.answered)
+        val creditState = creditStates[entry]
+        frame.demand?.let { creditState.demand = it }
+        frame.dispatches.forEach { accept(creditState, it) }
+        creditState.unspent -= frame.returned
+        creditState.recalled = maxOf(0, creditState.recalled - frame.answered)
         startQueued()
         grant()
     }
 
-    /** Grants what is free. */
+    /** Grants and recalls credits for the free slots as the policy decides. */
     fun grant() {
         if (!inService) return
-        val used = executor.running + queued.size + standings.sumOf { it.unspent }
-        val decision = policy.decide(executor.slots + world.settings.tuning.prefetch - used, standings.map { it.view() })
-        decision.grants.forEach { (entry, credits) -> grant(standings[entry.value.toInt()], credits) }
-        decision.recalls.forEach { (entry, credits) -> recall(standings[entry.value.toInt()], credits) }
+        val used = executor.running + queued.size + creditStates.sumOf { it.unspent }
+        val decision = policy.decide(executor.slots + context.settings.tuning.prefetch - used, creditStates.map { it.view() })
+        decision.grants.forEach { (entry, credits) -> grant(creditStates[entry.value.toInt()], credits) }
+        decision.recalls.forEach { (entry, credits) -> recall(creditStates[entry.value.toInt()], credits) }
     }
 
-    /** Stops to start tasks, or starts again. */
+    /** Sets whether the agent may start tasks. Going out of service revokes all credits and refuses the queued tasks. */
     fun setInService(value: Boolean) {
         inService = value
         if (value) return grant()
-        standings.forEach {
+        creditStates.forEach {
             it.unspent = 0
             it.recalled = 0
-            outbox.to(it.entry).dropped = true
+            outbox.frameTo(it.entry).dropped = true
         }
         queued.forEach { refuse(it) }
         queued.clear()
     }
 
     private fun accept(
-        standing: Standing,
+        creditState: CreditState,
         task: TrialTask,
     ) {
-        if (!inService || standing.unspent == 0) return refuse(task)
-        standing.unspent--
-        standing.recalled = minOf(standing.recalled, standing.unspent)
+        if (!inService || creditState.unspent == 0) return refuse(task)
+        creditState.unspent--
+        creditState.recalled = minOf(creditState.recalled, creditState.unspent)
         queued += task
     }
 
@@ -93,28 +93,28 @@
         ran: Duration,
         failed: Boolean,
     ) {
-        outbox.to(task.job.entry).outcomes += TrialOutcome(task, ran, failed, notRun = false)
+        outbox.frameTo(task.job.entry).outcomes += TrialOutcome(task, ran, failed, notRun = false)
         startQueued()
         grant()
     }
 
     private fun refuse(task: TrialTask) {
-        outbox.to(task.job.entry).outcomes += TrialOutcome(task, Duration.ZERO, failed = false, notRun = true)
+        outbox.frameTo(task.job.entry).outcomes += TrialOutcome(task, Duration.ZERO, failed = false, notRun = true)
     }
 
     private fun grant(
-        standing: Standing,
+        creditState: CreditState,
         credits: Int,
     ) {
-        standing.unspent += credits
-        outbox.to(standing.entry).granted += credits
+        creditState.unspent += credits
+        outbox.frameTo(creditState.entry).granted += credits
     }
 
     private fun recall(
-        standing: Standing,
+        creditState: CreditState,
         credits: Int,
     ) {
-        standing.recalled += credits
-        outbox.to(standing.entry).recalled += credits
+        creditState.recalled += credits
+        outbox.frameTo(creditState.entry).recalled += credits
     }
 }
--- a/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialPolicy.kt
+++ b/bench/src/main/kotlin/io/bluebellramp/bench/trial/TrialPolicy.kt
@@ -1,37 +1,46 @@
 package io.bluebellramp.bench.trial
 
-import io.bluebellramp.placement.BestJobGrantPolicy
-import io.bluebellramp.placement.DemandGrantPolicy
 import io.bluebellramp.placement.FairShareQueue
-import io.bluebellramp.placement.FewestLeftQueue
-import io.bluebellramp.placement.FirstComeQueue
+import io.bluebellramp.placement.FewestTasksLeftGrantPolicy
+import io.bluebellramp.placement.FewestTasksLeftQueue
+import io.bluebellramp.placement.FirstComeFirstServedQueue
 import io.bluebellramp.placement.GrantPolicy
 import io.bluebellramp.placement.LeastRunningPool
-import io.bluebellramp.placement.Placement
+import io.bluebellramp.placement.PlacementFactory
+import io.bluebellramp.placement.RoundRobinGrantPolicy
 import kotlin.time.Duration.Companion.milliseconds
 
-/** A way to place tasks, by the name that the command line gives it. */
+/** Placement policies to compare. [label] is the name on the command line and in reports. */
 internal enum class TrialPolicy(
     val label: String,
-    val create: (TrialWorld) -> TrialSystem,
+    val create: (TrialContext) -> TrialSystem,
 ) {
-    RANDOM("random", { PushSystem(it, PushChoice.RANDOM, STALE) }),
-    TWO_CHOICES("two-choices", { PushSystem(it, PushChoice.TWO_CHOICES, STALE) }),
-    LEAST_LOADED("least-loaded", { PushSystem(it, PushChoice.LEAST_LOADED, STALE) }),
-    FIRST_COME("first-come", { CreditSystem(it, CreditPolicies({ FirstComeQueue() }, { LeastRunningPool() }, { DemandGrantPolicy() })) }),
-    FAIR_SHARE("fair-share", { CreditSystem(it, CreditPolicies({ FairShareQueue() }, { LeastRunningPool() }, { DemandGrantPolicy() })) }),
-    EARLIER("earlier", { CreditSystem(it, CreditPolicies({ FewestLeftQueue() }, { LeastRunningPool() }, { DemandGrantPolicy() })) }),
-    ON_DEMAND("on-demand", { CreditSystem(it, currentPolicies(it.settings.tuning, BestJobGrantPolicy(standing = false))) }),
-    CURRENT("current", { CreditSystem(it, currentPolicies(it.settings.tuning, Placement.grants())) }),
+    RANDOM("random", { PushSystem(it, ExecutorChoice.RANDOM, STALE) }),
+    TWO_CHOICES("two-choices", { PushSystem(it, ExecutorChoice.TWO_CHOICES, STALE) }),
+    LEAST_LOADED("least-loaded", { PushSystem(it, ExecutorChoice.LEAST_LOADED, STALE) }),
+    FIRST_COME("first-come", {
+        CreditSystem(it, CreditPolicies({ FirstComeFirstServedQueue() }, { LeastRunningPool() }, { RoundRobinGrantPolicy() }))
+    }),
+    FAIR_SHARE(
+        "fair-share",
+        { CreditSystem(it, CreditPolicies({ FairShareQueue() }, { LeastRunningPool() }, { RoundRobinGrantPolicy() })) },
+    ),
+    EARLIER(
+        "earlier",
+        { CreditSystem(it, CreditPolicies({ FewestTasksLeftQueue() }, { LeastRunningPool() }, { RoundRobinGrantPolicy() })) },
+    ),
+    ON_DEMAND("on-demand", { CreditSystem(it, currentPolicies(it.settings.tuning, FewestTasksLeftGrantPolicy(grantsAhead = false))) }),
+    CURRENT("current", { CreditSystem(it, currentPolicies(it.settings.tuning, PlacementFactory.grantPolicy())) }),
 }
 
+/** Interval between load reports of the executors. */
 private val STALE = 100.milliseconds
 
 private fun currentPolicies(
     tuning: TrialTuning,
     grants: GrantPolicy,
 ) = CreditPolicies(
-    queue = { model -> Placement.queue(model = model, lateFactor = tuning.lateFactor, lateShare = tuning.lateShare) },
-    pool = { model -> Placement.pool(model) },
+    queue = { model -> PlacementFactory.queue(model = model, lateFactor = tuning.lateFactor, lateShare = tuning.lateShare) },
+    pool = { model -> PlacementFactory.pool(model) },
     grants = { grants },
 )
--- a/control/src/main/kotlin/io/bluebellramp/control/OperatorRoutes.kt
+++ b/control/src/main/kotlin/io/bluebellramp/control/OperatorRoutes.kt
@@ -15,44 +15,44 @@
 import io.ktor.server.routing.post
 import kotlinx.serialization.KSerializer
 
-/** The operators' API. A member that does not lead forwards each call to the leader. */
+/** The operators' API. A member that is not the leader forwards each call to the leader. */
 internal fun Route.operatorRoutes(
     control: Control,
     forwarder: LeaderForwarder,
 ) {
     get("/v1/config") {
-        if (control.log.holdsMajority()) call.respond(control.machine.configuration.value) else forwarder.forward(call)
+        if (control.log.holdsLeaderLease()) call.respond(control.machine.configuration.value) else forwarder.forward(call)
     }
     get("/v1/status") {
-        val isLocal = control.log.holdsMajority() || call.flag("local")
+        val isLocal = control.log.holdsLeaderLease() || call.flag("local")
         if (isLocal || !forwarder.tryForward(call)) call.respond(control.status())
     }
     post("/v1/changes") {
-        call.receiveLed(control, forwarder, "ChangeRequest", ChangeRequest.serializer()) { request, body ->
+        call.receiveAsLeader(control, forwarder, "ChangeRequest", ChangeRequest.serializer()) { request, body ->
             call.respondTo(control.changes.submit(request, wait = call.flag("wait")), forwarder, body)
         }
     }
     get("/v1/changes/{id}") {
-        if (control.log.holdsMajority()) call.respondChange(control) else forwarder.forward(call)
+        if (control.log.holdsLeaderLease()) call.respondChange(control) else forwarder.forward(call)
     }
     post("/v1/members") {
-        call.receiveLed(control, forwarder, "MembershipRequest", MembershipRequest.serializer()) { request, body ->
+        call.receiveAsLeader(control, forwarder, "MembershipRequest", MembershipRequest.serializer()) { request, body ->
             call.respondTo(request, control, forwarder, body)
         }
     }
 }
 
-/** Reads a body at the leader, or forwards the call. */
-private suspend fun <T> ApplicationCall.receiveLed(
+/** Decodes the body and calls [handle] if this member leads; otherwise forwards the call to the leader. */
+private suspend fun <T> ApplicationCall.receiveAsLeader(
     control: Control,
     forwarder: LeaderForwarder,
     type: String,
     serializer: KSerializer<T>,
     handle: suspend (T, ByteArray) -> Unit,
 ) {
-    val text = receiveText(MAX_BODY_BYTES) ?: return
+    val text = receiveText(MAX_OPERATOR_BODY_BYTES) ?: return
     val body = text.toByteArray()
-    if (!control.log.holdsMajority()) return forwarder.forward(this, body)
+    if (!control.log.holdsLeaderLease()) return forwarder.forward(this, body)
     when (val result = decodeStrictly(text, type, serializer)) {
         is DecodedBody.Valid -> {
             handle(result.value, body)
@@ -71,7 +71,7 @@
 ) = when (result) {
     is ChangeResult.Decided -> respond(result.response)
     ChangeResult.NotLeader -> forwarder.forward(this, body)
-    ChangeResult.Unknown -> respondUnknown()
+    ChangeResult.Unknown -> respondOutcomeUnknown()
 }
 
 private suspend fun ApplicationCall.respondTo(
@@ -94,7 +94,7 @@
     }
 
     ProposalResult.Unknown -> {
-        respondUnknown()
+        respondOutcomeUnknown()
     }
 }
 
@@ -103,7 +103,7 @@
     val response = control.changes.find(id)
     when {
         response != null -> respond(response)
-        control.log.holdsMajority() -> respondError(HttpStatusCode.NotFound, ErrorCode.NOT_FOUND, "No change $id is remembered.")
+        control.log.holdsLeaderLease() -> respondError(HttpStatusCode.NotFound, ErrorCode.NOT_FOUND, "No change $id is remembered.")
         else -> respondNoLeader()
     }
 }
--- a/entry/src/test/kotlin/io/bluebellramp/entry/FakeAgent.kt
+++ b/entry/src/test/kotlin/io/bluebellramp/entry/FakeAgent.kt
@@ -19,7 +19,7 @@
 import io.bluebellramp.messages.TargetState
 import io.bluebellramp.messages.TaskOutcome
 import io.bluebellramp.messages.TaskStatus
-import io.bluebellramp.runtime.httpLink
+import io.bluebellramp.runtime.createHttpClient
 import io.ktor.client.plugins.websocket.webSocket
 import io.ktor.websocket.Frame
 import io.ktor.websocket.WebSocketSession
@@ -33,7 +33,10 @@
 import java.io.IOException
 import java.util.concurrent.CopyOnWriteArrayList
 
-/** An agent with a target that answers each task with [run]. It grants its slots and grants each again after its task. */
+/**
+ * An agent whose target answers each task with [run]. It grants credits for its slots and connections, and each credit again after its
+ * task.
+ */
 internal class FakeAgent(
     private val entry: Address,
     private val name: String,
@@ -44,8 +47,8 @@
     val permits = CopyOnWriteArrayList<Permit>()
     val frames = CopyOnWriteArrayList<EntryFrame>()
     private val scope = CoroutineScope(SupervisorJob() + Dispatchers.Default)
-    private val http = httpLink()
-    val incarnation = IncarnationId.next()
+    private val http = createHttpClient()
+    val incarnation = IncarnationId.create()
 
     fun start(): FakeAgent {
         scope.launch {
@@ -102,6 +105,6 @@
     }
 }
 
-/** The outcome of a task that ran to its end. */
+/** The outcome of a task that succeeded. */
 internal fun Dispatch.done(result: String = "done $payload") =
     TaskOutcome(submission = submission, task = task, attempt = attempt, status = TaskStatus.DONE, result = result, ranMicros = 1_000)
--- /dev/null
+++ b/jobs/src/main/kotlin/io/bluebellramp/jobs/RunManager.kt
@@ -0,0 +1,498 @@
+package io.bluebellramp.jobs
+
+import io.bluebellramp.core.Clock
+import io.bluebellramp.core.JobId
+import io.bluebellramp.core.TargetId
+import io.bluebellramp.core.ZoneId
+import io.bluebellramp.messages.QueueWork
+import io.bluebellramp.messages.RoomReport
+import io.bluebellramp.messages.StepDispatch
+import io.bluebellramp.messages.TaskEvent
+import io.bluebellramp.messages.TaskReport
+import io.bluebellramp.placement.RunQueue
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+
+/** The outputs of a [RunManager]. */
+interface RunOutputs {
+    /** Reports the state of a task to the entry at [link]. */
+    fun report(
+        link: LinkId,
+        report: TaskReport,
+    )
+
+    /** Called when [RunManager.capacityReport] may have changed. */
+    fun capacityChanged()
+
+    /** Logs [decision]. */
+    fun onDecision(decision: JobDecision)
+}
+
+/**
+ * Manages the runs at the target of one VM: a state machine without I/O, used from one thread.
+ *
+ * It keeps the target within its capacity, holds a short lease on all runs, and stops the runs of an entry whose link is lost. A run uses
+ * capacity from the order to start it until the target lists its end, or until it can no longer be running.
+ *
+ * @param zone availability zone of the VM
+ * @param lease time after which the target ends all runs if this agent does not extend the lease
+ * @param fence greater than the fence of every earlier agent of this target
+ */
+class RunManager(
+    private val clock: Clock,
+    private val target: TargetPort,
+    private val outputs: RunOutputs,
+    private val zone: ZoneId,
+    lease: Duration,
+    private var fence: Long,
+) {
+    private val runs = HashMap<TaskKey, Run>()
+    private val queue = RunQueue<Run>()
+    private val runNumbers = RunNumbers()
+    private val healthMonitor = TargetHealthMonitor()
+    private var currentTarget: TargetDescription? = null
+    private var zonesOut: Set<ZoneId> = emptySet()
+    private var isStopping = false
+
+    /** Runs that an earlier agent left. Their needs are unknown, so nothing starts until they have ended. */
+    private val orphanedRuns = HashSet<RunKey>()
+    private val targetLease = TargetLease(clock, lease)
+    private var acknowledged = 0L
+
+    /** Number of runs that are not over, including those that wait for capacity. */
+    val openRuns: Int get() = runs.size
+
+    private val usedMilliCpu get() = runs.values.sumOf { if (it.usesCapacity) it.dispatch.milliCpu else 0 }
+    private val usedMemoryMb get() = runs.values.sumOf { if (it.usesCapacity) it.dispatch.memoryMb else 0 }
+
+    /** The reason why no run may start now, or null. */
+    private val closedReason: String?
+        get() {
+            val current = currentTarget
+            return when {
+                current == null -> "no target"
+                current.isDraining -> "the target leaves"
+                zone in zonesOut -> "zone $zone is out of service"
+                isStopping -> "the agent stops"
+                !targetLease.isReachable -> "the target cannot be reached"
+                else -> null
+            }
+        }
+
+    /** Sets the availability zones that get no new runs. */
+    fun setZonesOut(zones: Set<ZoneId>) {
+        zonesOut = zones
+        advance()
+    }
+
+    /** Accepts no new tasks from now on. Runs continue. */
+    fun drain() {
+        isStopping = true
+        advance()
+    }
+
+    /** Creates the capacity report for the entries. */
+    fun capacityReport(): RoomReport {
+        val current = currentTarget ?: return RoomReport(accepting = false)
+        val now = clock.monotonic()
+        return RoomReport(
+            service = current.service,
+            accepting = closedReason == null,
+            milliCpu = current.milliCpu,
+            memoryMb = current.memoryMb,
+            freeMilliCpu = current.milliCpu - usedMilliCpu,
+            freeMemoryMb = current.memoryMb - usedMemoryMb,
+            waiting = queue.cpuMicrosByQueue(now).map { (name, cpuMicros) -> QueueWork(name, cpuMicros) },
+            slowness = healthMonitor.slowness(now),
+            failing = healthMonitor.failureRate(now),
+        )
+    }
+
+    /** Processes an announcement of the target. Returns false if [next] is older than the last one. */
+    fun targetAnnounced(next: TargetDescription): Boolean {
+        val current = currentTarget
+        if (current != null) {
+            if (next.life < current.life) return false
+            if (next.id == current.id && next.life == current.life && next.sequence <= current.sequence) return false
+        }
+        if (current == null || current.id != next.id || current.life != next.life) replaceTarget(next)
+        if (current != null && !current.isDraining && next.isDraining) recordDecision("target_leaves", null, "target" to next.id)
+        currentTarget = next
+        if (!targetLease.isCallOpen) requestLease()
+        advance()
+        return true
+    }
+
+    /** Records that the target [id] has left. All of its runs are over. */
+    fun targetLeft(id: TargetId) {
+        if (currentTarget?.id != id) return
+        recordDecision("target_gone", null, "target" to id)
+        forgetTarget("the target left")
+        currentTarget = null
+        outputs.capacityChanged()
+    }
+
+    /** Processes tasks dispatched by the entry at [owner]. */
+    fun dispatch(
+        owner: LinkId,
+        dispatch: StepDispatch,
+    ) {
+        val now = clock.monotonic()
+        for (index in dispatch.tasks) {
+            val run = Run(owner, TaskKey(dispatch.job, dispatch.step, index), dispatch, now)
+            val reason = closedReason
+            val running = runs[run.task]
+            when {
+                reason != null -> {
+                    finishNotStarted(run, reason)
+                }
+
+                dispatch.service != currentTarget?.service -> {
+                    finishNotStarted(run, "the target runs another service")
+                }
+
+                running != null -> {
+                    finishNotStarted(run, "an earlier run is not over")
+                    if (running.owner != owner) requestStop(running, "another entry owns the job")
+                }
+
+                else -> {
+                    runs[run.task] = run
+                    enqueue(run)
+                }
+            }
+        }
+        advance()
+    }
+
+    /** Stops all tasks of [job] that the entry at [owner] dispatched. */
+    fun stopJob(
+        owner: LinkId,
+        job: JobId,
+    ) = stopAll("the entry ended the job") { it.task.job == job && it.owner == owner }
+
+    /** Stops all tasks of [job], whichever entry dispatched them. */
+    fun cancel(job: JobId) = stopAll("the job was cancelled") { it.task.job == job }
+
+    /** Records that the link to an entry is lost, and stops its tasks. */
+    fun linkDown(owner: LinkId) = stopAll("the link to the entry is lost") { it.owner == owner }
+
+    /** Handles everything that is due by now. Must be called every few milliseconds. */
+    fun tick() {
+        val now = clock.monotonic()
+        targetLease.detectSilence(now)?.let { recordDecision("target_silent", null, "since" to it) }
+        if (targetLease.hasLapsed(now)) endExpiredRuns()
+        if (targetLease.isRetryDue(now)) requestLease()
+        for (run in runs.values.toList()) {
+            val sent = run.stopSentAt
+            val isOpen = run.state == RunState.STOPPING && run.stopAnsweredAt == null
+            if (isOpen && sent != null && now - sent > STOP_RETRY_PERIOD) sendStop(run)
+        }
+        advance()
+    }
+
+    private fun replaceTarget(next: TargetDescription) {
+        recordDecision("target_seen", null, "target" to next.id, "life" to next.life, "cpu" to next.milliCpu)
+        forgetTarget("the target started again")
+        runNumbers.clear()
+        healthMonitor.reset()
+    }
+
+    private fun forgetTarget(reason: String) {
+        for (run in runs.values.filter { it.usesCapacity }) finish(run, TaskEvent.STOPPED, reason)
+        orphanedRuns.clear()
+        acknowledged = 0
+        targetLease.reset()
+    }
+
+    private fun stopAll(
+        reason: String,
+        matches: (Run) -> Boolean,
+    ) {
+        queue.removeAll(matches).forEach { finishNotStarted(it, reason) }
+        runs.values.filter { it.usesCapacity && matches(it) }.forEach { requestStop(it, reason) }
+        advance()
+    }
+
+    private fun advance() {
+        val now = clock.monotonic()
+        val reason = closedReason
+        if (reason != null) {
+            queue.removeAll { true }.forEach { finishNotStarted(it, reason) }
+        } else {
+            queue.takeExpired(now).forEach { finishNotStarted(it, NO_CAPACITY) }
+            if (orphanedRuns.isEmpty()) startFitting(now)
+        }
+        outputs.capacityChanged()
+    }
+
+    private fun startFitting(now: Duration) {
+        val current = currentTarget ?: return
+        while (queue.size > 0) {
+            val until = targetLease.leaseEndFrom(now) ?: return
+            val run = queue.takeFitting(now, current.milliCpu - usedMilliCpu, current.memoryMb - usedMemoryMb) ?: return
+            sendStart(run, current, until, now)
+        }
+    }
+
+    private fun sendStart(
+        run: Run,
+        current: TargetDescription,
+        until: Duration,
+        now: Duration,
+    ) {
+        run.number = runNumbers.next(run.task, run.dispatch.attempt)
+        run.state = RunState.STARTING
+        run.orderedAt = now
+        targetLease.granted(now)
+        target.start(current.id, StartOrder(run.key, run.dispatch.spec, until, fence)) { onStartResult(run, it) }
+    }
+
+    private fun onStartResult(
+        run: Run,
+        result: StartResult,
+    ) {
+        if (runs[run.task] !== run) return
+        when (result) {
+            StartResult.Started -> confirmStarted(run)
+            StartResult.NoAnswer -> markUnsure(run)
+            is StartResult.Refused -> onRefused(run, result.refusal)
+        }
+        advance()
+    }
+
+    private fun markUnsure(run: Run) {
+        if (run.state != RunState.STARTING) return
+        run.state = RunState.UNSURE
+        run.startUnansweredAt = clock.monotonic()
+        recordDecision("start_unanswered", run)
+        // A list requested earlier is no evidence of this run, and the open call may wait until another run ends.
+        requestLease()
+    }
+
+    private fun confirmStarted(run: Run) {
+        if (!run.isKnownStarted) {
+            run.confirmedAt = clock.monotonic()
+            outputs.report(run.owner, run.report(TaskEvent.STARTED))
+        }
+        if (run.state == RunState.STARTING || run.state == RunState.UNSURE) run.state = RunState.RUNNING
+    }
+
+    private fun onRefused(
+        run: Run,
+        refusal: StartRefusal,
+    ) {
+        run.refusals++
+        recordDecision("start_refused", run, "refusal" to refusal)
+        // The target has not started this run, and the order to stop keeps it from starting.
+        if (run.state == RunState.STOPPING && refusal != StartRefusal.OLD_NUMBER) return finish(run, TaskEvent.NOT_STARTED, run.stopReason)
+        if (run.state == RunState.STOPPING) return
+        val mayRetry = run.refusals <= MAX_START_RETRIES
+        when (refusal) {
+            StartRefusal.FENCED -> fence += FENCE_STEP
+            StartRefusal.OLD_NUMBER -> runNumbers.skip(run.task, run.refusals)
+            StartRefusal.LATE -> targetLease.forgetClock()
+            else -> return finish(run, TaskEvent.NOT_STARTED, refusal.name.lowercase())
+        }
+        if (!mayRetry) return finish(run, TaskEvent.NOT_STARTED, refusal.name.lowercase())
+        run.state = RunState.QUEUED
+        enqueue(run)
+    }
+
+    private fun enqueue(run: Run) {
+        val needs = run.dispatch
+        val startBy = run.receivedAt + needs.startWithinMillis.milliseconds
+        val dueAt = run.receivedAt + needs.dueWithinMillis.milliseconds
+        queue.add(run, needs.queue, needs.milliCpu, needs.memoryMb, needs.milliCpu * needs.estimateMillis, startBy, dueAt, needs.priority)
+    }
+
+    private fun requestStop(
+        run: Run,
+        reason: String,
+    ) {
+        if (run.state == RunState.STOPPING) return
+        run.state = RunState.STOPPING
+        run.stopReason = reason
+        recordDecision("stopping", run, "reason" to reason)
+        sendStop(run)
+    }
+
+    private fun sendStop(run: Run) {
+        val current = currentTarget ?: return
+        run.stopSentAt = clock.monotonic()
+        target.stop(current.id, run.key, fence) { if (it) run.stopAnsweredAt = clock.monotonic() }
+    }
+
+    private fun requestLease() {
+        val current = currentTarget ?: return
+        val now = clock.monotonic()
+        val until = targetLease.leaseEndFrom(now)
+        val number = targetLease.callStarted()
+        if (until != null) targetLease.granted(now)
+        // The first answer is needed at once to learn the clock of the target.
+        val wait = if (until == null || orphanedRuns.isNotEmpty() || hasUncertainRun()) Duration.ZERO else MAX_LEASE_ANSWER_DELAY
+        target.lease(current.id, until, acknowledged, fence, wait) { if (targetLease.isLatestCall(number)) onLeaseResult(it, sentAt = now) }
+    }
+
+    private fun hasUncertainRun() = runs.values.any { it.state == RunState.UNSURE || it.state == RunState.STOPPING }
+
+    private fun onLeaseResult(
+        result: LeaseResult,
+        sentAt: Duration,
+    ) {
+        targetLease.callEnded()
+        if (currentTarget == null) return
+        when (result) {
+            is LeaseResult.RunList -> {
+                processList(result, sentAt)
+                requestLease()
+            }
+
+            LeaseResult.OtherTarget -> {
+                recordDecision("other_target", null, "target" to checkNotNull(currentTarget).id)
+                forgetTarget("another target is at this address")
+                currentTarget = null
+            }
+
+            // The next tick retries the call.
+            is LeaseResult.NoAnswer -> {}
+        }
+        advance()
+    }
+
+    private fun processList(
+        result: LeaseResult.RunList,
+        sentAt: Duration,
+    ) {
+        val now = clock.monotonic()
+        if (targetLease.callAnswered(result.clock, sentAt)) recordDecision("target_reached", null, "running" to result.running.size)
+        for (end in result.ended) {
+            if (end.number <= acknowledged) continue
+            acknowledged = end.number
+            runNumbers.observe(end.run)
+            val run = runs[end.run.task]?.takeIf { it.usesCapacity && it.number == end.run.number } ?: continue
+            onRunEnded(run, end.end, now)
+        }
+        reconcile(result.running, sentAt, now)
+    }
+
+    private fun onRunEnded(
+        run: Run,
+        end: RunEnd,
+        now: Duration,
+    ) {
+        val ran = now - run.orderedAt
+        when (end) {
+            RunEnd.DONE -> {
+                healthMonitor.runCompleted(run, ran, now)
+                finish(run, TaskEvent.DONE, "", ran)
+            }
+
+            RunEnd.FAILED -> {
+                healthMonitor.runFailed(now)
+                finish(run, TaskEvent.FAILED, "the run failed", ran)
+            }
+
+            RunEnd.STOPPED -> {
+                finish(run, TaskEvent.STOPPED, run.stopReason.ifEmpty { "stopped" }, ran)
+            }
+
+            RunEnd.LAPSED -> {
+                finish(run, TaskEvent.STOPPED, "its lease ran out", ran)
+            }
+        }
+    }
+
+    /** Reconciles the runs listed by the target with those that should be running. */
+    private fun reconcile(
+        running: Map<RunKey, Int>,
+        sentAt: Duration,
+        now: Duration,
+    ) {
+        orphanedRuns.clear()
+        for ((key, percent) in running) {
+            runNumbers.observe(key)
+            val run = runs[key.task]?.takeIf { it.usesCapacity && it.number == key.number }
+            if (run != null) checkProgress(run, percent, now) else stopOrphanedRun(key)
+        }
+        for (run in runs.values.toList()) {
+            val lastAnswerAt = run.lastAnswerAt ?: continue
+            if (run.key in running || lastAnswerAt >= sentAt) continue
+            when (run.state) {
+                // The unanswered order to start may still arrive; an order to stop keeps the run from starting.
+                RunState.UNSURE -> requestStop(run, "the order to start got no answer")
+
+                RunState.STOPPING -> finish(run, run.eventIfUnlisted, run.stopReason)
+
+                else -> requestStop(run, "the target does not know the run")
+            }
+        }
+    }
+
+    /** Updates the progress of a run and stops it if it has stalled. */
+    private fun checkProgress(
+        run: Run,
+        percent: Int,
+        now: Duration,
+    ) {
+        confirmStarted(run)
+        if (!healthMonitor.hasStalled(run, percent, now)) return
+        requestStop(run, "it stands still at $percent%")
+    }
+
+    private fun stopOrphanedRun(key: RunKey) {
+        orphanedRuns += key
+        val current = currentTarget ?: return
+        target.stop(current.id, key, fence) { }
+    }
+
+    /** Ends all runs because the target is unreachable and every lease has expired. */
+    private fun endExpiredRuns() {
+        runs.values.filter { it.usesCapacity }.forEach { finish(it, it.eventIfUnlisted, "its lease ran out unseen") }
+    }
+
+    private fun finish(
+        run: Run,
+        event: TaskEvent,
+        reason: String,
+        ran: Duration = Duration.ZERO,
+    ) {
+        runs.remove(run.task)
+        if (event != TaskEvent.DONE) recordDecision("run_over", run, "event" to event.name.lowercase(), "reason" to reason)
+        outputs.report(run.owner, run.report(event, reason, ran))
+    }
+
+    private fun finishNotStarted(
+        run: Run,
+        reason: String,
+    ) {
+        if (runs[run.task] === run) runs.remove(run.task)
+        recordDecision("not_started", run, "reason" to reason, "queued" to clock.monotonic() - run.receivedAt)
+        outputs.report(run.owner, run.report(TaskEvent.NOT_STARTED, reason))
+    }
+
+    private fun recordDecision(
+        kind: String,
+        run: Run?,
+        vararg details: Pair<String, Any>,
+    ) {
+        val task = run?.let { mapOf("task" to "${it.task.step}.${it.task.index}", "run" to it.number, "state" to it.state) }.orEmpty()
+        outputs.onDecision(JobDecision(kind, run?.task?.job ?: NO_JOB, task + details))
+    }
+
+    private companion object {
+        /**
+         * Longest time for which the target may delay its answer to a lease call. Short compared with the lease, so that a lost answer ends
+         * no run.
+         */
+        val MAX_LEASE_ANSWER_DELAY = 150.milliseconds
+
+        val STOP_RETRY_PERIOD = 100.milliseconds
+
+        /** Number of retries of an order to start after refusals that the agent can correct. */
+        const val MAX_START_RETRIES = 5
+        const val FENCE_STEP = 1000L
+        val NO_JOB = JobId("")
+        const val NO_CAPACITY = "no room in time"
+    }
+}
--- /dev/null
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/JobSchedulerTest.kt
@@ -0,0 +1,294 @@
+package io.bluebellramp.jobs
+
+import io.bluebellramp.core.JobId
+import io.bluebellramp.core.ZoneId
+import io.bluebellramp.messages.StepDispatch
+import io.bluebellramp.messages.TaskEvent
+import io.bluebellramp.messages.TaskReport
+import org.junit.jupiter.api.Nested
+import kotlin.random.Random
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertIs
+import kotlin.test.assertTrue
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+class JobSchedulerTest {
+    private val clock = FakeClock()
+    private val outputs = RecordingJobOutputs()
+    private val lostLinkRunTimeout = 1.seconds
+    private val scheduler = JobScheduler(clock, outputs, lostLinkRunTimeout, Random(7))
+    private val answers = ArrayList<JobAnswer>()
+    private val caller = Caller { answers += it }
+    private val firstLink = LinkId(1)
+    private val secondLink = LinkId(2)
+
+    private fun connectAgents(
+        firstLink: LinkId,
+        secondLink: LinkId? = null,
+    ) = listOfNotNull(firstLink, secondLink).forEach {
+        scheduler.linkUp(it, "agent-$it", ZoneId("z$it"))
+        scheduler.capacityReported(it, capacityReport())
+    }
+
+    private fun report(
+        link: LinkId,
+        dispatch: StepDispatch,
+        event: TaskEvent,
+        task: Int = dispatch.tasks.first(),
+        reason: String = "",
+    ) = scheduler.report(link, TaskReport(dispatch.job, dispatch.step, task, dispatch.attempt, event, reason))
+
+    @Nested
+    inner class NormalOperation {
+        @Test
+        fun `a job is answered once all of its tasks are done`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(tasks = 2), caller)
+            val (link, dispatch) = outputs.dispatches.single()
+            assertEquals(listOf(0, 1), dispatch.tasks)
+            report(link, dispatch, TaskEvent.DONE, task = 0)
+            assertEquals(emptyList(), answers)
+            report(link, dispatch, TaskEvent.DONE, task = 1)
+            assertEquals(listOf<JobAnswer>(JobAnswer.Completed), answers)
+            assertEquals(0, scheduler.openJobs)
+        }
+
+        @Test
+        fun `a step starts after the steps it depends on`() {
+            connectAgents(firstLink)
+            val steps = listOf(StepRequest(1, 1000, 64, 50.milliseconds), StepRequest(1, 1000, 64, 50.milliseconds, dependsOn = listOf(0)))
+            scheduler.submit(request(steps = steps), caller)
+            assertEquals(listOf(0), outputs.dispatches.map { it.second.step })
+            report(firstLink, outputs.dispatches.single().second, TaskEvent.DONE)
+            assertEquals(listOf(0, 1), outputs.dispatches.map { it.second.step })
+        }
+
+        @Test
+        fun `a submission with the id of an open job joins it`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(), caller)
+            scheduler.submit(request(), caller)
+            assertEquals(1, outputs.dispatches.size)
+            report(firstLink, outputs.dispatches.single().second, TaskEvent.DONE)
+            assertEquals(2, answers.size)
+        }
+    }
+
+    @Nested
+    inner class OutdatedReports {
+        @Test
+        fun `an agent with an outdated report gets no tasks while another has a recent report`() {
+            connectAgents(firstLink, secondLink)
+            clock.advance(200.milliseconds)
+            scheduler.capacityReported(secondLink, capacityReport())
+            scheduler.submit(request(tasks = 8), caller)
+            assertEquals(setOf(secondLink), outputs.dispatches.map { it.first }.toSet())
+        }
+
+        @Test
+        fun `an agent with an outdated report is used if no other is large enough`() {
+            connectAgents(firstLink, secondLink)
+            clock.advance(200.milliseconds)
+            scheduler.capacityReported(secondLink, capacityReport().copy(milliCpu = 500, freeMilliCpu = 500))
+            scheduler.submit(request(), caller)
+            assertEquals(listOf(firstLink), outputs.dispatches.map { it.first })
+        }
+
+        @Test
+        fun `a report is not outdated within a heartbeat period`() {
+            connectAgents(firstLink, secondLink)
+            clock.advance(120.milliseconds)
+            scheduler.capacityReported(secondLink, capacityReport())
+            scheduler.submit(request(tasks = 16), caller)
+            assertEquals(setOf(firstLink, secondLink), outputs.dispatches.map { it.first }.toSet())
+        }
+    }
+
+    @Nested
+    inner class Refusals {
+        @Test
+        fun `a job is refused at once if no target can be reached`() {
+            scheduler.submit(request(), caller)
+            assertIs<JobAnswer.NotRun>(answers.single())
+        }
+
+        @Test
+        fun `a job that would wait longer than its slack is refused at once and not dispatched`() {
+            connectAgents(firstLink)
+            scheduler.capacityReported(firstLink, capacityReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 500))
+            scheduler.submit(request(), caller)
+            val answer = assertIs<JobAnswer.NotRun>(answers.single())
+            assertTrue(answer.retryAfter > 100.milliseconds)
+            assertEquals(emptyList(), outputs.dispatches)
+        }
+
+        @Test
+        fun `a wide job is refused at once if its last task would start too late, a narrow one is accepted`() {
+            connectAgents(firstLink)
+            scheduler.capacityReported(firstLink, capacityReport(freeMilliCpu = 6000))
+            scheduler.submit(request(tasks = 100), caller)
+            assertIs<JobAnswer.NotRun>(answers.single())
+            assertEquals(emptyList(), outputs.dispatches)
+            scheduler.submit(request(id = "00000000000000a2", tasks = 3), caller)
+            assertEquals(1, outputs.dispatches.size)
+        }
+
+        @Test
+        fun `a job is not placed in a zone that is out of service`() {
+            connectAgents(firstLink, secondLink)
+            scheduler.setZonesOut(setOf(ZoneId("z1")))
+            scheduler.submit(request(tasks = 4), caller)
+            assertEquals(setOf(secondLink), outputs.dispatches.map { it.first }.toSet())
+        }
+
+        @Test
+        fun `a job whose only task was returned as not started is refused as not run`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(tasks = 1), caller)
+            val dispatch = outputs.dispatches.single().second
+            clock.advance(170.milliseconds)
+            report(firstLink, dispatch, TaskEvent.NOT_STARTED)
+            assertIs<JobAnswer.NotRun>(answers.single())
+        }
+
+        @Test
+        fun `a job with a started task is never refused as not run`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(tasks = 2), caller)
+            val dispatch = outputs.dispatches.single().second
+            report(firstLink, dispatch, TaskEvent.STARTED, task = 0)
+            clock.advance(1600.milliseconds)
+            scheduler.tick()
+            assertIs<JobAnswer.Unfinished>(answers.single())
+        }
+
+        @Test
+        fun `a job whose agent was lost is not refused as not run because it may have started`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(), caller)
+            scheduler.linkDown(firstLink, clock.monotonic())
+            clock.advance(1600.milliseconds)
+            scheduler.tick()
+            assertIs<JobAnswer.Unfinished>(answers.single())
+        }
+    }
+
+    @Nested
+    inner class FullTargets {
+        @Test
+        fun `a task returned for lack of capacity is placed by the newest reports and keeps its due time`() {
+            connectAgents(firstLink, secondLink)
+            scheduler.capacityReported(secondLink, capacityReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 20))
+            scheduler.submit(request(), caller)
+            val (link, dispatch) = outputs.dispatches.single()
+            assertEquals(firstLink, link)
+            clock.advance(70.milliseconds)
+            scheduler.capacityReported(firstLink, capacityReport(freeMilliCpu = 0, queuedCpuMicros = 32_000L * 90, received = 1))
+            scheduler.capacityReported(secondLink, capacityReport())
+            report(firstLink, dispatch, TaskEvent.NOT_STARTED)
+            val (next, redispatch) = outputs.dispatches.last()
+            assertEquals(secondLink, next)
+            assertEquals(dispatch.dueWithinMillis - 70, redispatch.dueWithinMillis)
+        }
+
+        @Test
+        fun `a returned task of a late job is sent with a due time in the past`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(tasks = 2, estimate = 300.milliseconds), caller)
+            val dispatch = outputs.dispatches.single().second
+            report(firstLink, dispatch, TaskEvent.STARTED, task = 0)
+            clock.advance(400.milliseconds)
+            report(firstLink, dispatch, TaskEvent.NOT_STARTED, task = 1)
+            assertTrue(
+                outputs.dispatches
+                    .last()
+                    .second.dueWithinMillis < 0,
+            )
+        }
+    }
+
+    @Nested
+    inner class SingleRunPerTask {
+        @Test
+        fun `a task dispatched on a lost link is placed again only after its run has ended`() {
+            connectAgents(firstLink, secondLink)
+            scheduler.submit(request(estimate = 2.seconds, timeout = 10.seconds), caller)
+            val link = outputs.dispatches.single().first
+            val lastReceivedAt = clock.monotonic()
+            clock.advance(300.milliseconds)
+            scheduler.linkDown(link, lastReceivedAt)
+            clock.advance(lostLinkRunTimeout - 301.milliseconds)
+            scheduler.tick()
+            assertEquals(1, outputs.dispatches.size)
+            clock.advance(2.milliseconds)
+            scheduler.tick()
+            assertEquals(2, outputs.dispatches.size)
+            assertEquals(
+                2,
+                outputs.dispatches
+                    .last()
+                    .second.attempt,
+            )
+        }
+
+        @Test
+        fun `a resubmission waits until the tasks of the ended job are over`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(), caller)
+            val endedDispatch = outputs.dispatches.single().second
+            report(firstLink, endedDispatch, TaskEvent.STARTED)
+            scheduler.callerLeft(endedDispatch.job, caller)
+            assertEquals(listOf(firstLink to endedDispatch.job), outputs.stops)
+            scheduler.submit(request(), caller)
+            assertEquals(1, outputs.dispatches.size)
+            report(firstLink, endedDispatch, TaskEvent.STOPPED)
+            assertEquals(2, outputs.dispatches.size)
+        }
+
+        @Test
+        fun `a report of another attempt or link is ignored`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(), caller)
+            val dispatch = outputs.dispatches.single().second
+            report(firstLink, dispatch.copy(attempt = 9), TaskEvent.DONE)
+            report(secondLink, dispatch, TaskEvent.DONE)
+            assertEquals(emptyList(), answers)
+        }
+    }
+
+    @Nested
+    inner class Failures {
+        @Test
+        fun `a failed task is retried at another agent`() {
+            connectAgents(firstLink, secondLink)
+            scheduler.submit(request(), caller)
+            val (link, dispatch) = outputs.dispatches.single()
+            report(link, dispatch, TaskEvent.FAILED)
+            assertEquals(setOf(firstLink, secondLink), outputs.dispatches.map { it.first }.toSet())
+        }
+
+        @Test
+        fun `a job fails once a task has failed as many times as its queue allows`() {
+            connectAgents(firstLink, secondLink)
+            scheduler.submit(request(timeout = 10.seconds), caller)
+            repeat(QUEUE.attempts) {
+                val (link, dispatch) = outputs.dispatches.last()
+                report(link, dispatch, TaskEvent.FAILED)
+            }
+            assertEquals(listOf<JobAnswer>(JobAnswer.Failed), answers)
+        }
+
+        @Test
+        fun `a job ends without an answer when its caller leaves`() {
+            connectAgents(firstLink)
+            scheduler.submit(request(), caller)
+            val dispatch = outputs.dispatches.single().second
+            scheduler.callerLeft(JobId("00000000000000a1"), caller)
+            report(firstLink, dispatch, TaskEvent.NOT_STARTED)
+            assertEquals(emptyList(), answers)
+            assertEquals(0, scheduler.openJobs)
+        }
+    }
+}
--- /dev/null
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/RunManagerTest.kt
@@ -0,0 +1,431 @@
+package io.bluebellramp.jobs
+
+import io.bluebellramp.core.JobId
+import io.bluebellramp.core.TargetId
+import io.bluebellramp.core.ZoneId
+import io.bluebellramp.messages.StepDispatch
+import io.bluebellramp.messages.TaskEvent
+import org.junit.jupiter.api.Nested
+import kotlin.test.Test
+import kotlin.test.assertEquals
+import kotlin.test.assertFalse
+import kotlin.test.assertTrue
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+class RunManagerTest {
+    private val clock = FakeClock()
+    private val target = FakeTarget()
+    private val outputs = RecordingRunOutputs()
+    private val zone = ZoneId("z1")
+    private val lease = 650.milliseconds
+    private val runManager = RunManager(clock, target, outputs, zone, lease, fence = 7)
+    private val entry = LinkId(1)
+    private val otherEntry = LinkId(2)
+
+    private fun targetDescription(
+        life: Long = 1,
+        sequence: Long = 1,
+        draining: Boolean = false,
+        id: String = "t1",
+    ) = TargetDescription(TargetId(id), life, sequence, SERVICE, draining, milliCpu = 10_000, memoryMb = 1000, address = "10.0.0.1:1")
+
+    private fun dispatch(
+        tasks: Int = 1,
+        job: String = "00000000000000a1",
+        milliCpu: Int = 4000,
+        attempt: Int = 1,
+        queue: String = QUEUE.name,
+    ) = StepDispatch(
+        job = JobId(job),
+        step = 0,
+        tasks = List(tasks) { it },
+        attempt = attempt,
+        queue = queue,
+        service = SERVICE,
+        milliCpu = milliCpu,
+        memoryMb = 10,
+        spec = "s",
+        startWithinMillis = 200,
+        estimateMillis = 100,
+    )
+
+    private fun connectTarget() {
+        runManager.targetAnnounced(targetDescription())
+        target.answerLease()
+    }
+
+    private fun confirmStart(index: Int = target.starts.lastIndex): RunKey {
+        target.starts[index].answer(StartResult.Started)
+        return target.starts[index].order.run
+    }
+
+    private fun events() = outputs.reports.map { it.second.event }
+
+    @Nested
+    inner class Capacity {
+        @Test
+        fun `a target never gets more than its capacity`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch(tasks = 3))
+            assertEquals(2, target.starts.size)
+            val run = confirmStart(0)
+            confirmStart(1)
+            target.answerLease(running = listOf(target.starts[1].order.run), ended = listOf(run to RunEnd.DONE))
+            assertEquals(3, target.starts.size)
+        }
+
+        @Test
+        fun `a run that is being stopped uses capacity until its end is listed`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch(tasks = 2))
+            val runs = listOf(confirmStart(0), confirmStart(1))
+            runManager.stopJob(entry, JobId("00000000000000a1"))
+            target.stops.forEach { it.answer(true) }
+            runManager.dispatch(entry, dispatch(job = "00000000000000a2"))
+            assertEquals(2, target.starts.size)
+            clock.advance(20.milliseconds)
+            target.answerLease(ended = runs.map { it to RunEnd.STOPPED })
+            assertEquals(3, target.starts.size)
+        }
+
+        @Test
+        fun `free capacity goes to the waiting queue with the highest priority`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch(tasks = 2))
+            val run = confirmStart(0)
+            confirmStart(1)
+            runManager.dispatch(entry, dispatch(job = "00000000000000b1", queue = "patient").copy(priority = 2))
+            runManager.dispatch(entry, dispatch(job = "00000000000000b2", queue = "urgent").copy(priority = 0))
+            target.answerLease(ended = listOf(run to RunEnd.DONE))
+            val next =
+                target.starts
+                    .last()
+                    .order.run.task.job
+            assertEquals(3, target.starts.size)
+            assertEquals(JobId("00000000000000b2"), next)
+        }
+
+        @Test
+        fun `a task that gets no capacity in time is returned as not started`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch(tasks = 3))
+            clock.advance(201.milliseconds)
+            runManager.tick()
+            assertEquals(TaskEvent.NOT_STARTED, events().last())
+        }
+
+        @Test
+        fun `nothing starts until the runs of an earlier agent have ended`() {
+            runManager.targetAnnounced(targetDescription())
+            val orphanedRun = RunKey(TaskKey(JobId("00000000000000ff"), 0, 0), 3)
+            target.answerLease(running = listOf(orphanedRun))
+            runManager.dispatch(entry, dispatch())
+            assertEquals(listOf(orphanedRun), target.stops.map { it.run })
+            assertEquals(emptyList(), target.starts)
+            target.answerLease()
+            assertEquals(1, target.starts.size)
+        }
+    }
+
+    @Nested
+    inner class UnansweredCalls {
+        @Test
+        fun `a run with an unanswered start continues if it is listed`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            val run =
+                target.starts
+                    .single()
+                    .order.run
+            target.starts.single().answer(StartResult.NoAnswer)
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            target.answerLease(running = listOf(run))
+            assertEquals(listOf(TaskEvent.STARTED), events())
+            assertEquals(emptyList(), target.stops)
+        }
+
+        @Test
+        fun `an unanswered start causes a new lease call at once, and the answer to the earlier call is ignored`() {
+            connectTarget()
+            val earlierCall = target.leases.last()
+            runManager.dispatch(entry, dispatch())
+            val run =
+                target.starts
+                    .single()
+                    .order.run
+            target.starts.single().answer(StartResult.NoAnswer)
+            assertTrue(target.leases.last() !== earlierCall)
+            clock.advance(1.milliseconds)
+            earlierCall.answer(LeaseResult.RunList(life = 1, clock = target.clock, running = emptyMap(), ended = emptyList()))
+            assertEquals(emptyList(), target.stops)
+            target.answerLease(running = listOf(run))
+            assertEquals(listOf(TaskEvent.STARTED), events())
+        }
+
+        @Test
+        fun `a run with an unanswered start that is not listed is stopped before its task is returned`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            target.starts.single().answer(StartResult.NoAnswer)
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            target.answerLease()
+            assertEquals(
+                listOf(
+                    target.starts
+                        .single()
+                        .order.run,
+                ),
+                target.stops.map { it.run },
+            )
+            assertEquals(emptyList(), events())
+            target.stops.single().answer(true)
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            target.answerLease()
+            assertEquals(listOf(TaskEvent.NOT_STARTED), events())
+        }
+
+        @Test
+        fun `a list requested before a start was answered does not end the run`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            clock.advance(1.milliseconds)
+            val run = confirmStart()
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            assertEquals(listOf(TaskEvent.STARTED), events())
+            assertEquals(emptyList(), target.stops)
+            target.answerLease(running = listOf(run))
+            assertEquals(listOf(TaskEvent.STARTED), events())
+        }
+
+        @Test
+        fun `a run that is no longer listed is stopped before its task is returned`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            confirmStart()
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            target.answerLease()
+            assertEquals(1, target.stops.size)
+            assertEquals(listOf(TaskEvent.STARTED), events())
+        }
+
+        @Test
+        fun `a list requested before an order to stop was answered does not free the capacity`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            confirmStart()
+            runManager.stopJob(entry, JobId("00000000000000a1"))
+            clock.advance(1.milliseconds)
+            target.answerLease()
+            clock.advance(1.milliseconds)
+            target.stops.single().answer(true)
+            target.answerLease()
+            assertEquals(listOf(TaskEvent.STARTED), events())
+        }
+
+        @Test
+        fun `an unanswered order to stop is sent again`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            confirmStart()
+            runManager.stopJob(entry, JobId("00000000000000a1"))
+            target.stops.single().answer(false)
+            clock.advance(101.milliseconds)
+            runManager.tick()
+            assertEquals(2, target.stops.size)
+        }
+
+        @Test
+        fun `a failed lease call is retried after a delay`() {
+            connectTarget()
+            val callCount = target.leases.size
+            target.leases.last().answer(LeaseResult.NoAnswer("no connection"))
+            assertEquals(callCount, target.leases.size)
+            clock.advance(30.milliseconds)
+            runManager.tick()
+            assertEquals(callCount + 1, target.leases.size)
+            runManager.tick()
+            assertEquals(callCount + 1, target.leases.size, "a call is in progress")
+        }
+
+        @Test
+        fun `runs of an unreachable target are over once their leases have expired`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            confirmStart()
+            clock.advance(500.milliseconds)
+            target.leases.last().answer(LeaseResult.NoAnswer("no answer"))
+            runManager.tick()
+            assertFalse(runManager.capacityReport().accepting)
+            assertEquals(listOf(TaskEvent.STARTED), events())
+            clock.advance(800.milliseconds)
+            runManager.tick()
+            assertEquals(listOf(TaskEvent.STARTED, TaskEvent.STOPPED), events())
+        }
+    }
+
+    @Nested
+    inner class SlowAndFailingTargets {
+        private fun reportProgress(
+            times: Int,
+            run: RunKey,
+            percent: (Int) -> Int,
+        ) = repeat(times) {
+            clock.advance(100.milliseconds)
+            target.answerLease(running = listOf(run), percent = percent(it))
+        }
+
+        @Test
+        fun `a stalled run is stopped and raises the reported failure rate`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            val run = confirmStart()
+            reportProgress(5, run) { 30 }
+            assertEquals(listOf(run), target.stops.map { it.run })
+            assertTrue(runManager.capacityReport().failing > 0.2)
+        }
+
+        @Test
+        fun `a slow run continues, and the target is reported as slow`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            val run = confirmStart()
+            reportProgress(8, run) { 10 + it }
+            assertEquals(emptyList(), target.stops)
+            assertTrue(runManager.capacityReport().slowness > 1.5, "${runManager.capacityReport().slowness}")
+        }
+
+        @Test
+        fun `failed runs raise the reported failure rate, which then decays`() {
+            connectTarget()
+            repeat(4) {
+                runManager.dispatch(entry, dispatch(attempt = it + 1))
+                target.answerLease(ended = listOf(confirmStart() to RunEnd.FAILED))
+            }
+            assertTrue(runManager.capacityReport().failing > 0.7)
+            clock.advance(8.seconds)
+            assertTrue(runManager.capacityReport().failing < 0.1)
+        }
+    }
+
+    @Nested
+    inner class Owners {
+        @Test
+        fun `the runs of an entry are stopped when its link is lost`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            val run = confirmStart()
+            runManager.linkDown(entry)
+            assertEquals(listOf(run), target.stops.map { it.run })
+        }
+
+        @Test
+        fun `a task dispatched by another entry does not start while an earlier run of it exists`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch(milliCpu = 1000))
+            confirmStart()
+            runManager.dispatch(otherEntry, dispatch(milliCpu = 1000))
+            assertEquals(1, target.starts.size)
+            assertEquals(
+                TaskEvent.NOT_STARTED,
+                outputs.reports
+                    .last { it.first == otherEntry }
+                    .second.event,
+            )
+            assertEquals(1, target.stops.size)
+        }
+
+        @Test
+        fun `run numbers of a task rise`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            val run = confirmStart()
+            target.answerLease(ended = listOf(run to RunEnd.FAILED))
+            runManager.dispatch(entry, dispatch(attempt = 2))
+            runManager.dispatch(otherEntry, dispatch(job = "00000000000000a2"))
+            assertEquals(listOf(1, 2, 1), target.starts.map { it.order.run.number })
+        }
+    }
+
+    @Nested
+    inner class UnavailableTargets {
+        @Test
+        fun `nothing starts at a draining target`() {
+            connectTarget()
+            runManager.targetAnnounced(targetDescription(sequence = 2, draining = true))
+            runManager.dispatch(entry, dispatch())
+            assertEquals(emptyList(), target.starts)
+            assertEquals(listOf(TaskEvent.NOT_STARTED), events())
+        }
+
+        @Test
+        fun `nothing starts in a zone that is out of service`() {
+            connectTarget()
+            runManager.setZonesOut(setOf(zone))
+            runManager.dispatch(entry, dispatch())
+            assertEquals(emptyList(), target.starts)
+        }
+
+        @Test
+        fun `outdated announcements are ignored`() {
+            connectTarget()
+            assertTrue(runManager.targetAnnounced(targetDescription(life = 2, sequence = 5)))
+            assertFalse(runManager.targetAnnounced(targetDescription(life = 1, sequence = 9, draining = true)))
+            assertFalse(runManager.targetAnnounced(targetDescription(life = 2, sequence = 4, draining = true)))
+        }
+
+        @Test
+        fun `the runs of a restarted target are over`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            confirmStart()
+            runManager.targetAnnounced(targetDescription(life = 2))
+            assertEquals(listOf(TaskEvent.STARTED, TaskEvent.STOPPED), events())
+        }
+    }
+
+    @Nested
+    inner class Leases {
+        @Test
+        fun `a lease ends on the clock of the target no later than its duration`() {
+            target.clock = 5.seconds
+            connectTarget()
+            clock.advance(100.milliseconds)
+            runManager.dispatch(entry, dispatch())
+            val until =
+                target.starts
+                    .single()
+                    .order.leaseUntil
+            assertTrue(until <= 5.seconds + 100.milliseconds + lease)
+            assertTrue(until > 5.seconds + 90.milliseconds + lease)
+        }
+
+        @Test
+        fun `an end is acknowledged with the next lease call`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            val run = confirmStart()
+            target.answerLease(ended = listOf(run to RunEnd.DONE))
+            assertEquals(1, target.leases.last().acknowledged)
+        }
+
+        @Test
+        fun `a fence that is too low is raised`() {
+            connectTarget()
+            runManager.dispatch(entry, dispatch())
+            target.starts.single().answer(StartResult.Refused(StartRefusal.FENCED))
+            assertTrue(
+                target.starts
+                    .last()
+                    .order.fence > 7,
+            )
+        }
+    }
+}
--- /dev/null
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/history/JobsSimulationTest.kt
@@ -0,0 +1,132 @@
+package io.bluebellramp.jobs.history
+
+import io.bluebellramp.core.JobId
+import io.bluebellramp.jobs.JobAnswer
+import io.bluebellramp.jobs.LinkId
+import io.bluebellramp.jobs.node.LinkTiming
+import org.junit.jupiter.api.DynamicTest
+import org.junit.jupiter.api.DynamicTest.dynamicTest
+import org.junit.jupiter.api.TestFactory
+import kotlin.test.assertEquals
+import kotlin.test.assertTrue
+import kotlin.time.Duration.Companion.milliseconds
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * Runs entries, agents and targets in virtual time with random faults: killed entries and agents, crashed targets, cut and reset links,
+ * lost answers and delayed orders.
+ */
+class JobsSimulationTest {
+    private class RandomHistory(
+        seed: Int,
+    ) {
+        val sim = Simulation(seed)
+        private val targets = ArrayList<SimTarget>()
+        private val agents = ArrayList<SimAgent>()
+        private val entries = ArrayList<SimEntry>()
+        private val links = ArrayList<SimLink>()
+        val callers = ArrayList<SimCaller>()
+        private var fence = 1L
+        private var lastLink = 0L
+        private var hasOrderFaults = false
+
+        init {
+            repeat(3) { targets += SimTarget(sim, "t$it", targets) }
+            targets.forEach { agents += agent(it) }
+            repeat(2) { entries += SimEntry(sim) }
+            sim.every(40.milliseconds, { true }) { connect() }
+            sim.every(LinkTiming.HEARTBEAT_PERIOD, { true }) { links.forEach { it.sendHeartbeats() } }
+        }
+
+        private fun agent(target: SimTarget) = SimAgent(sim, target, { hasOrderFaults }, fence++)
+
+        private fun connect() {
+            links.removeAll { it.isClosed }
+            for (entry in entries.filter { it.isAlive }) {
+                for (agent in agents.filter { it.isAlive }) {
+                    if (links.any { it.entry === entry && it.agent === agent }) continue
+                    val link = SimLink(sim, LinkId(++lastLink), entry, agent)
+                    links += link
+                    entry.links[link.id] = link
+                    agent.links[link.id] = link
+                    entry.scheduler.linkUp(link.id, "agent", io.bluebellramp.core.ZoneId("z"))
+                }
+            }
+        }
+
+        private fun submit() {
+            val id = JobId("%016x".format(callers.size))
+            callers += SimCaller(sim, id, { entries.filter { it.isAlive } }, targets).also { it.send() }
+        }
+
+        private fun injectFault() {
+            when (sim.random.nextInt(6)) {
+                0 -> killAgent()
+                1 -> killEntry()
+                2 -> targets.random(sim.random).crash()
+                3 -> links.randomOrNull(sim.random)?.reset()
+                4 -> cutLinks()
+                else -> hasOrderFaults = !hasOrderFaults
+            }
+        }
+
+        private fun killAgent() {
+            val index = sim.random.nextInt(agents.size)
+            val killed = agents[index].also { it.isAlive = false }
+            links.filter { it.agent === killed }.forEach { it.reset() }
+            sim.after(
+                (200 + sim.random.nextInt(1500)).milliseconds,
+            ) { if (!agents[index].isAlive) agents[index] = agent(targets[index]) }
+        }
+
+        private fun killEntry() {
+            val index = sim.random.nextInt(entries.size)
+            val killed = entries[index].also { it.isAlive = false }
+            links.filter { it.entry === killed }.forEach { it.reset() }
+            sim.after((200 + sim.random.nextInt(1500)).milliseconds) { if (!entries[index].isAlive) entries[index] = SimEntry(sim) }
+        }
+
+        /** Cuts some links. In half of the cases the direction to the entry is cut first. */
+        private fun cutLinks() {
+            val affectedLinks = links.filter { sim.chance(0.4) }
+            val isEntryDirectionFirst = sim.chance(0.5)
+            affectedLinks.forEach { it.cut(toAgent = !isEntryDirectionFirst, toEntry = true) }
+            if (isEntryDirectionFirst) {
+                sim.after(
+                    sim.random.nextInt(500).milliseconds,
+                ) { affectedLinks.forEach { it.cut(toAgent = true, toEntry = true) } }
+            }
+            sim.after((500 + sim.random.nextInt(2500)).milliseconds) { affectedLinks.forEach { it.cut(toAgent = false, toEntry = false) } }
+        }
+
+        fun run() {
+            sim.runFor(2.seconds)
+            repeat(240) {
+                sim.after((it * 50).milliseconds) { submit() }
+            }
+            repeat(18) { sim.after((600 * it + sim.random.nextInt(600)).milliseconds) { injectFault() } }
+            sim.runFor(30.seconds)
+        }
+    }
+
+    @TestFactory
+    fun `no task runs twice at once, no target exceeds its capacity, and no job refused as not run is running`(): List<DynamicTest> =
+        seeds().map { seed ->
+            dynamicTest("seed $seed") {
+                val history = RandomHistory(seed)
+                history.run()
+                assertEquals(emptyList(), history.sim.violations, "seed $seed")
+                val completed = history.callers.count { it.answer == JobAnswer.Completed }
+                assertTrue(
+                    completed > history.callers.size / 4,
+                    "seed $seed: only $completed of ${history.callers.size} jobs were completed",
+                )
+            }
+        }
+
+    private fun seeds(): List<Int> {
+        val singleSeed = System.getProperty("bluebellramp.seed")?.toIntOrNull()
+        val count = System.getProperty("bluebellramp.seeds")?.toIntOrNull() ?: 60
+        return if (singleSeed != null) listOf(singleSeed) else (1..count).toList()
+    }
+}
--- a/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SimSystem.kt
+++ b/jobs/src/test/kotlin/io/bluebellramp/jobs/history/SimSystem.kt
@@ -6,21 +6,21 @@
 import io.bluebellramp.jobs.Caller
 import io.bluebellramp.jobs.JobAnswer
 import io.bluebellramp.jobs.JobDecision
-import io.bluebellramp.jobs.JobDesk
 import io.bluebellramp.jobs.JobOutputs
 import io.bluebellramp.jobs.JobRequest
+import io.bluebellramp.jobs.JobScheduler
 import io.bluebellramp.jobs.LeaseResult
 import io.bluebellramp.jobs.LinkId
 import io.bluebellramp.jobs.QUEUE
-import io.bluebellramp.jobs.RunDesk
 import io.bluebellramp.jobs.RunKey
+import io.bluebellramp.jobs.RunManager
 import io.bluebellramp.jobs.RunOutputs
 import io.bluebellramp.jobs.SERVICE
 import io.bluebellramp.jobs.StartOrder
 import io.bluebellramp.jobs.StartRefusal
 import io.bluebellramp.jobs.StartResult
 import io.bluebellramp.jobs.StepRequest
-import io.bluebellramp.jobs.TargetNews
+import io.bluebellramp.jobs.TargetDescription
 import io.bluebellramp.jobs.TargetPort
 import io.bluebellramp.jobs.node.LinkTiming
 import io.bluebellramp.messages.StepDispatch
@@ -29,117 +29,117 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A connection between an entry and an agent, and what is cut on it. */
+/** A connection between an entry and an agent. Each direction can be cut. */
 internal class SimLink(
-    private val world: World,
+    private val sim: Simulation,
     val id: LinkId,
     val entry: SimEntry,
     val agent: SimAgent,
 ) {
-    private val wayToAgent = Way()
-    private val wayToEntry = Way()
+    private val directionToAgent = Direction()
+    private val directionToEntry = Direction()
 
-    /** Cuts or heals the ways. What was sent on a cut way arrives once it is healed, as on a connection that is not reset. */
+    /** Cuts or restores each direction. Frames sent while a direction is cut arrive after it is restored, as without a connection reset. */
     fun cut(
         toAgent: Boolean,
         toEntry: Boolean,
     ) {
-        wayToAgent.set(toAgent)
-        wayToEntry.set(toEntry)
+        directionToAgent.setCut(toAgent)
+        directionToEntry.setCut(toEntry)
     }
 
-    private class Way {
+    private class Direction {
         private var isCut = false
-        private val held = ArrayList<() -> Unit>()
+        private val heldFrames = ArrayList<() -> Unit>()
 
-        fun set(cut: Boolean) {
+        fun setCut(cut: Boolean) {
             isCut = cut
             if (cut) return
-            val late = held.toList()
-            held.clear()
-            late.forEach { it() }
+            val delayedFrames = heldFrames.toList()
+            heldFrames.clear()
+            delayedFrames.forEach { it() }
         }
 
-        fun arrive(action: () -> Unit) {
-            if (isCut) held += action else action()
+        fun deliver(action: () -> Unit) {
+            if (isCut) heldFrames += action else action()
         }
     }
 
-    private var lastToAgent = Duration.ZERO
-    private var lastToEntry = Duration.ZERO
-    private var entryHeardAt = world.monotonic()
-    private var agentHeardAt = world.monotonic()
+    private var lastArrivalAtAgent = Duration.ZERO
+    private var lastArrivalAtEntry = Duration.ZERO
+    private var entryHeardAt = sim.monotonic()
+    private var agentHeardAt = sim.monotonic()
     private var isEntryOpen = true
     private var isAgentOpen = true
     private var received = 0L
-    val isOver get() = !isEntryOpen && !isAgentOpen
-
-    fun toAgent(action: () -> Unit) {
-        lastToAgent = maxOf(lastToAgent, world.monotonic() + world.hop())
-        world.after(lastToAgent - world.monotonic()) {
-            wayToAgent.arrive {
-                if (!isAgentOpen || !agent.isAlive) return@arrive
-                agentHeardAt = world.monotonic()
+    val isClosed get() = !isEntryOpen && !isAgentOpen
+
+    fun sendToAgent(action: () -> Unit) {
+        lastArrivalAtAgent = maxOf(lastArrivalAtAgent, sim.monotonic() + sim.messageDelay())
+        sim.after(lastArrivalAtAgent - sim.monotonic()) {
+            directionToAgent.deliver {
+                if (!isAgentOpen || !agent.isAlive) return@deliver
+                agentHeardAt = sim.monotonic()
                 action()
             }
         }
     }
 
-    fun toEntry(action: () -> Unit) {
-        lastToEntry = maxOf(lastToEntry, world.monotonic() + world.hop())
-        world.after(lastToEntry - world.monotonic()) {
-            wayToEntry.arrive {
-                if (!isEntryOpen || !entry.isAlive) return@arrive
-                entryHeardAt = world.monotonic()
+    fun sendToEntry(action: () -> Unit) {
+        lastArrivalAtEntry = maxOf(lastArrivalAtEntry, sim.monotonic() + sim.messageDelay())
+        sim.after(lastArrivalAtEntry - sim.monotonic()) {
+            directionToEntry.deliver {
+                if (!isEntryOpen || !entry.isAlive) return@deliver
+                entryHeardAt = sim.monotonic()
                 action()
             }
         }
     }
 
-    fun noteReceived(count: Int) {
+    fun addReceived(count: Int) {
         received += count
     }
 
-    fun beat() {
+    fun sendHeartbeats() {
         if (isAgentOpen) {
-            val room = agent.desk.room().copy(received = received)
-            toEntry { entry.desk.room(id, room) }
+            val capacity = agent.runManager.capacityReport().copy(received = received)
+            sendToEntry { entry.scheduler.capacityReported(id, capacity) }
         }
-        if (isEntryOpen) toAgent { }
-        val now = world.monotonic()
-        if (isEntryOpen && now - entryHeardAt > LinkTiming.SILENCE) closeAtEntry()
-        if (isAgentOpen && now - agentHeardAt > LinkTiming.SILENCE) closeAtAgent()
+        if (isEntryOpen) sendToAgent { }
+        val now = sim.monotonic()
+        if (isEntryOpen && now - entryHeardAt > LinkTiming.LINK_TIMEOUT) closeAtEntry()
+        if (isAgentOpen && now - agentHeardAt > LinkTiming.LINK_TIMEOUT) closeAtAgent()
     }
 
-    /** A process has died or the connection was reset: both ends that live see it. */
+    /** Closes both ends, as after the death of a process or a reset of the connection. */
     fun reset() {
-        world.after(world.hop()) { closeAtEntry() }
-        world.after(world.hop()) { closeAtAgent() }
+        sim.after(sim.messageDelay()) { closeAtEntry() }
+        sim.after(sim.messageDelay()) { closeAtAgent() }
     }
 
     private fun closeAtEntry() {
         if (!isEntryOpen) return
         isEntryOpen = false
-        toAgent { closeAtAgent() }
-        if (entry.isAlive) entry.desk.linkDown(id, entryHeardAt)
+        sendToAgent { closeAtAgent() }
+        if (entry.isAlive) entry.scheduler.linkDown(id, entryHeardAt)
     }
 
     private fun closeAtAgent() {
         if (!isAgentOpen) return
         isAgentOpen = false
-        if (agent.isAlive) agent.desk.linkDown(id)
+        if (agent.isAlive) agent.runManager.linkDown(id)
     }
 }
 
 internal class SimEntry(
-    private val world: World,
+    private val sim: Simulation,
 ) {
     val links = HashMap<LinkId, SimLink>()
     var isAlive = true
-    val desk = JobDesk(world, Outputs(), LinkTiming.LOST_RUN_LIFE, world.random)
+    val scheduler = JobScheduler(sim, Outputs(), LinkTiming.LOST_LINK_RUN_TIMEOUT, sim.random)
 
     init {
-        world.every(LinkTiming.TICK, { isAlive }) { desk.tick() }
+        sim.every(LinkTiming.TICK, { isAlive }) { scheduler.tick() }
     }
 
     private inner class Outputs : JobOutputs {
@@ -147,10 +147,10 @@
             link: LinkId,
             dispatch: StepDispatch,
         ) {
-            val to = links[link] ?: return
-            to.toAgent {
-                to.noteReceived(dispatch.tasks.size)
-                to.agent.desk.dispatch(link, dispatch)
+            val simLink = links[link] ?: return
+            simLink.sendToAgent {
+                simLink.addReceived(dispatch.tasks.size)
+                simLink.agent.runManager.dispatch(link, dispatch)
             }
         }
 
@@ -158,34 +158,35 @@
             link: LinkId,
             job: JobId,
         ) {
-            val to = links[link] ?: return
-            to.toAgent { to.agent.desk.stopJob(link, job) }
+            val simLink = links[link] ?: return
+            simLink.sendToAgent { simLink.agent.runManager.stopJob(link, job) }
         }
 
-        override fun decided(decision: JobDecision) = Unit
+        override fun onDecision(decision: JobDecision) = Unit
     }
 }
 
-/** One life of an agent. Orders reach the target over a path that may lose answers or hold orders up for seconds. */
+/** One life of an agent. With [hasOrderFaults], answers of the target may be lost and orders may be delayed by seconds. */
 internal class SimAgent(
-    private val world: World,
+    private val sim: Simulation,
     private val target: SimTarget,
-    private val troubled: () -> Boolean,
+    private val hasOrderFaults: () -> Boolean,
     fence: Long,
 ) {
     val links = HashMap<LinkId, SimLink>()
     var isAlive = true
-    val desk = RunDesk(world, Port(), Outputs(), ZoneId("z"), LinkTiming.LEASE, fence)
+    val runManager = RunManager(sim, Port(), Outputs(), ZoneId("z"), LinkTiming.RUN_LEASE, fence)
 
     init {
-        world.every(LinkTiming.TICK, { isAlive }) { desk.tick() }
-        world.every(300.milliseconds, { isAlive }) { hear() }
-        hear()
+        sim.every(LinkTiming.TICK, { isAlive }) { runManager.tick() }
+        sim.every(300.milliseconds, { isAlive }) { announceTarget() }
+        announceTarget()
     }
 
-    fun hear() {
-        val news = TargetNews(target.id, target.life, target.nextSequence(), SERVICE, false, SimTarget.MILLI_CPU, 1000, "10.0.0.1:1")
-        world.after(world.hop()) { if (isAlive) desk.targetNews(news) }
+    fun announceTarget() {
+        val description =
+            TargetDescription(target.id, target.life, target.nextSequence(), SERVICE, false, SimTarget.MILLI_CPU, 1000, "10.0.0.1:1")
+        sim.after(sim.messageDelay()) { if (isAlive) runManager.targetAnnounced(description) }
     }
 
     private inner class Port : TargetPort {
@@ -195,7 +196,7 @@
             onResult: (StartResult) -> Unit,
         ) = call(target, StartResult.Refused(StartRefusal.OTHER_TARGET), StartResult.NoAnswer, ORDER_TIMEOUT, onResult) { answer ->
             val runTime = order.spec.toLong().milliseconds
-            answer(this@SimAgent.target.start(order, milliCpu = MILLI_CPU_EACH, runTime = runTime))
+            answer(this@SimAgent.target.start(order, milliCpu = TASK_MILLI_CPU, runTime = runTime))
         }
 
         override fun stop(
@@ -234,14 +235,14 @@
                 isDone = true
                 onResult(result)
             }
-            val isHeldUp = troubled() && world.chance(0.08)
-            val isAnswerLost = troubled() && world.chance(0.05)
-            val delay = if (isHeldUp) (2000 + world.random.nextInt(8000)).milliseconds else world.hop()
-            world.after(delay) {
-                val respond = { result: T -> world.after(world.hop()) { if (!isHeldUp && !isAnswerLost) finish(result) } }
+            val isDelayed = hasOrderFaults() && sim.chance(0.08)
+            val isAnswerLost = hasOrderFaults() && sim.chance(0.05)
+            val delay = if (isDelayed) (2000 + sim.random.nextInt(8000)).milliseconds else sim.messageDelay()
+            sim.after(delay) {
+                val respond = { result: T -> sim.after(sim.messageDelay()) { if (!isDelayed && !isAnswerLost) finish(result) } }
                 if (expected != target.id) respond(otherTarget) else action(respond)
             }
-            world.after(timeout) { finish(noAnswer) }
+            sim.after(timeout) { finish(noAnswer) }
         }
     }
 
@@ -250,70 +251,70 @@
             link: LinkId,
             report: TaskReport,
         ) {
-            val to = links[link] ?: return
-            to.toEntry { to.entry.desk.report(link, report) }
+            val simLink = links[link] ?: return
+            simLink.sendToEntry { simLink.entry.scheduler.report(link, report) }
         }
 
-        override fun roomChanged() = Unit
+        override fun capacityChanged() = Unit
 
-        override fun decided(decision: JobDecision) = Unit
+        override fun onDecision(decision: JobDecision) = Unit
     }
 
     companion object {
-        const val MILLI_CPU_EACH = 3000
+        const val TASK_MILLI_CPU = 3000
         val ORDER_TIMEOUT = 120.milliseconds
     }
 }
 
-/** A caller with one job: it sends again after a lost answer, to another entry, and may leave. */
+/** A caller with one job. It may lose its connection, and then submits the job again to a random entry. */
 internal class SimCaller(
-    private val world: World,
+    private val sim: Simulation,
     private val id: JobId,
     private val entries: () -> List<SimEntry>,
     private val targets: List<SimTarget>,
 ) {
-    private var isOver = false
+    private var isAnswered = false
     var answer: JobAnswer? = null
         private set
 
     fun send() {
-        val entry = entries().randomOrNull(world.random) ?: return
-        val run = 40 + world.random.nextInt(300)
-        val step = StepRequest(1 + world.random.nextInt(4), SimAgent.MILLI_CPU_EACH, 10, run.milliseconds)
-        val request = JobRequest(id, QUEUE, "$run", listOf(step), patience = 1500.milliseconds)
+        val entry = entries().randomOrNull(sim.random) ?: return
+        val runMillis = 40 + sim.random.nextInt(300)
+        val step = StepRequest(1 + sim.random.nextInt(4), SimAgent.TASK_MILLI_CPU, 10, runMillis.milliseconds)
+        val request = JobRequest(id, QUEUE, "$runMillis", listOf(step), timeout = 1500.milliseconds)
         var isConnected = true
         lateinit var caller: Caller
         caller =
             Caller { result ->
                 if (!isConnected || !entry.isAlive) return@Caller
-                isOver = true
+                isAnswered = true
                 answer = result
-                if (result is JobAnswer.NotRun) watchForStarts()
+                if (result is JobAnswer.NotRun) checkThatNothingRuns()
             }
-        world.after(world.hop()) { if (entry.isAlive) entry.desk.submit(request, caller) }
-        world.every(20.milliseconds, { isConnected && !isOver }) {
-            val breaks = !entry.isAlive || world.chance(0.002)
-            if (!breaks) return@every
+        sim.after(sim.messageDelay()) { if (entry.isAlive) entry.scheduler.submit(request, caller) }
+        sim.every(20.milliseconds, { isConnected && !isAnswered }) {
+            val isInterrupted = !entry.isAlive || sim.chance(0.002)
+            if (!isInterrupted) return@every
             isConnected = false
-            world.after(world.hop()) { if (entry.isAlive) entry.desk.callerLeft(id, caller) }
-            world.after(RESEND) { if (!isOver) send() }
+            sim.after(sim.messageDelay()) { if (entry.isAlive) entry.scheduler.callerLeft(id, caller) }
+            sim.after(RESEND_DELAY) { if (!isAnswered) send() }
         }
     }
 
-    /** Nothing of a job that was refused as not run may run or start. */
-    private fun watchForStarts() {
-        val until = world.monotonic() + 12.seconds
-        world.every(5.milliseconds, { world.monotonic() < until }) {
+    /** Checks that no task of a job that was refused as not run is running or starts. */
+    private fun checkThatNothingRuns() {
+        val until = sim.monotonic() + 12.seconds
+        sim.every(5.milliseconds, { sim.monotonic() < until }) {
             if (targets.any { target ->
                     target.running.keys.any { it.job == id }
                 }
             ) {
-                world.violated("job $id runs after it was refused as not run")
+                sim.recordViolation("job $id runs after it was refused as not run")
             }
         }
     }
 
     private companion object {
-        val RESEND = 1300.milliseconds
+        val RESEND_DELAY = 1300.milliseconds
     }
 }
--- a/placement/src/test/kotlin/io/bluebellramp/placement/DemandNewsTest.kt
+++ b/placement/src/test/kotlin/io/bluebellramp/placement/DemandChangeFilterTest.kt
@@ -4,13 +4,13 @@
 import kotlin.test.Test
 import kotlin.test.assertEquals
 
-class DemandNewsTest {
-    private val news = DemandNews(coarseness = 0.2)
+class DemandChangeFilterTest {
+    private val changeFilter = DemandChangeFilter(tolerance = 0.2)
 
     private fun demand(
         tasks: Int,
-        left: Int,
-    ) = QueueDemand(tasks = tasks, tasksLeft = left)
+        tasksLeft: Int,
+    ) = QueueDemand(tasks = tasks, tasksLeft = tasksLeft)
 
     @Nested
     inner class `a change of demand` {
@@ -26,8 +26,8 @@
             )
 
         @Test
-        fun `is news if it may change a grant`() {
-            for ((sent, now, expected) in cases) assertEquals(expected, news.isNews(sent, now), "$sent to $now")
+        fun `is significant if it may change a grant`() {
+            for ((sent, now, expected) in cases) assertEquals(expected, changeFilter.isSignificant(sent, now), "$sent to $now")
         }
     }
 }
--- a/runtime/src/main/kotlin/io/bluebellramp/runtime/HttpLink.kt
+++ b/runtime/src/main/kotlin/io/bluebellramp/runtime/CreateHttpClient.kt
@@ -16,25 +16,25 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Returns an HTTP client for links between processes. It keeps its connections and never sends a request twice by itself.
+ * Returns an HTTP client for calls between processes. It reuses connections and never retries a request by itself.
  *
- * Use POST for anything that must not be repeated.
+ * Use POST for requests that must not be repeated.
  *
  * @param key sent with every request if not null
- * @param timeout bound on a whole request; null for calls that wait long
+ * @param timeout limit on the duration of a whole request; null for no limit, for long-polling calls
  */
-fun httpLink(
+fun createHttpClient(
     key: SharedKey? = null,
     connectTimeout: Duration = 1.seconds,
     timeout: Duration? = null,
 ): HttpClient =
     HttpClient(Java) {
         engine { protocolVersion = Version.HTTP_1_1 }
-        configureLink(key, connectTimeout, timeout)
+        configureHttpClient(key, connectTimeout, timeout)
     }
 
-/** Sets what every link has, whatever its engine: JSON bodies, WebSockets, time limits and the key. See [httpLink]. */
-fun HttpClientConfig<*>.configureLink(
+/** Configures JSON bodies, WebSockets, timeouts and the key of a client with any engine. See [createHttpClient] for the parameters. */
+fun HttpClientConfig<*>.configureHttpClient(
     key: SharedKey?,
     connectTimeout: Duration,
     timeout: Duration?,
